--- a/lycheetide/placement/_choose.py
+++ b/lycheetide/placement/_choose.py
@@ -1,6 +1,7 @@
-"""Choose the replicas for one request.
+"""Choose the replicas for a request.
 
-Short prompts are packed onto few replicas, and long ones are read in parts by others.
+Short prompts are packed onto few replicas. Long prompts are split into parts, which
+other replicas prefill in parallel.
 """
 
 from collections.abc import Sequence
@@ -16,26 +17,28 @@
 
 
 def rank_replicas(ids):
-    """Return each replica's place in an order that all nodes agree on.
+    """Return the position of each replica in an order that all nodes agree on.
 
     Parameters
     ----------
     ids : iterable of str
-        Replicas.
+        Replica ids.
 
     Returns
     -------
     dict of str to int
+        Position by replica id, ordered by the hash of the id.
     """
     ordered = sorted(ids, key=lambda name: xxhash.xxh32_intdigest(name.encode()))
     return {name: place for place, name in enumerate(ordered)}
 
 
 def choose_plain(candidates: Sequence[Candidate]):
-    """Return the replica for a request without a prompt, or None.
+    """Return the placement of a request without a prompt, or None if there is none.
 
-    The one with the most free slots, a near one where that is equal; one that failed
-    lately only where the others are full.
+    The replica with the largest fraction of free slots is chosen. Ties go to a replica
+    in this node's failure domain. A replica that failed recently is used only if all
+    others are full.
     """
     if not candidates:
         return None
@@ -43,7 +46,7 @@
     def load(candidate):
         share = candidate.writers / max(1, candidate.slots)
         is_full = candidate.writers >= candidate.slots
-        return (is_full, candidate.is_recovering, round(share, 2), candidate.extra_s)
+        return (is_full, candidate.is_recovering, round(share, 2), candidate.penalty_s)
 
     first = min(candidates, key=load)
     return Placement(first, (), 0.0, 0.0)
@@ -62,37 +65,44 @@
     unknown: float = 0.0,
     draw: float = 0.0,
 ):
-    """Return where a prompt goes, or None where no replica has the memory.
+    """Return the placement of a prompt, or None if no replica has memory for it.
 
     Parameters
     ----------
     engine : Engine
-        The service's figures.
+        Performance model of the service's replicas.
     size : Size
-        The request.
+        Tokens of the request.
     candidates : sequence of Candidate
-        Replicas that may take it.
+        Replicas that may be sent the request.
     target_s : float
-        The time within which the first event is wanted.
-    left_s : float or None
-        What is left of that; None for all of it.
-    patience_s : float
-        When its caller leaves without one.
+        Target time to the first event, in seconds.
+    left_s : float or None, default=None
+        Remaining part of the target; None for all of it.
+    patience_s : float, default=inf
+        Time after which the caller disconnects without a first event, in seconds.
     arrivals : Arrivals
-        What comes to the service meanwhile.
+        Arrival rate of the service's requests.
     helpers_most : int
-        How many other replicas may read a part.
-    unknown : float
-        Requests that may be on their way and aren't counted in the candidates.
-    draw : float
-        A random number, from 0 up to 1.
+        Maximum number of other replicas that prefill a part.
+    unknown : float, default=0.0
+        Estimated number of requests in flight that the candidates' load doesn't
+        include.
+    draw : float, default=0.0
+        Random number, at least 0 and less than 1.
+
+    Returns
+    -------
+    Placement or None
     """
     if read_s(engine, size.prompt_tokens) > SHORT_READ_S:
         return spread_prompt(
             engine, size, candidates, target_s=target_s, left_s=left_s,
             patience_s=patience_s, arrivals=arrivals, helpers_most=helpers_most,
         )  # fmt: skip
-    fitting = [one for one in candidates if has_memory(engine, size, one)]
+    fitting = [
+        candidate for candidate in candidates if has_memory(engine, size, candidate)
+    ]
     if not fitting:
         return None
     return pack_prompt(engine, size, fitting, unknown=unknown, draw=draw)
--- a/lycheetide/placement/_cold.py
+++ b/lycheetide/placement/_cold.py
@@ -1,8 +1,9 @@
-"""Keep all nodes together under a cold replica's limit.
+"""Keep the requests of all nodes to a cold replica under its limit.
 
-A cold replica falls over under full load. The limit is the replica's, and each of
-nine nodes that sends "only a little" makes nine times that; so each may send only its
-share, and only as many nodes as there are whole shares send at all.
+A cold replica fails under full load. Its limit holds for all nodes together: nine nodes
+that each send a small rate send nine times that. Each node may therefore send only its
+share of the limit. If the limit allows fewer whole requests per second than there are
+nodes, only as many nodes as it allows requests may send any.
 """
 
 import math
@@ -11,36 +12,40 @@
 
 import xxhash
 
-SAFETY = 0.6
-"""Part of the limit that is used: nodes that know fewer peers take larger shares."""
-RING_NAMES_KEPT = 4_096
-"""Nodes and replicas whose places on the ring are kept, 0.5 MB."""
-WARM_STARTS = 4
-"""What one node may send a second to a warm replica of a service that can be cold,
-while there are others."""
+SAFETY_FACTOR = 0.6
+"""Fraction of the limit that is used. The rest is a margin for nodes that know fewer
+peers and therefore compute larger shares."""
+RING_CACHE_SIZE = 4_096
+"""Number of node and replica names whose ring positions are cached, 0.5 MB."""
+WARM_STARTS_PER_S = 4
+"""Requests per second that one node may send to a warm replica of a service with a cold
+limit, as long as other replicas are available."""
 NEWS_S = 0.1
-"""A request that a node sent so lately may not be known to all others yet."""
+"""Time in seconds after which a request that a node sent is assumed to be known to all
+other nodes."""
 
 
 def share_cold_limits(node, nodes):
-    """Return a function that tells this node's share of any replica's limit.
+    """Return a function that computes this node's share of a replica's cold limit.
 
-    Nodes and replicas stand on one ring, by hash. Where a replica bears fewer requests
-    than there are nodes, those that follow it on the ring may send one each, as many as
-    it bears. A node that one knows and another doesn't moves one place of a ring only.
+    Nodes and replicas are placed on a hash ring. If a replica's limit is lower than the
+    number of nodes, the nodes that follow the replica on the ring may send one request
+    per second each, as many nodes as the limit allows. As with consistent hashing, a
+    node that is known to some nodes only changes the shares by one position.
 
     Parameters
     ----------
     node : str
-        This node.
+        Name of this node.
     nodes : collection of str
-        All nodes that may be sending, this one among them.
+        Names of all nodes that may be sending, including this node.
 
     Returns
     -------
     callable
-        Gets a limit per second, 0 for none, and a replica; returns how many requests a
-        second this node may send there while it is cold, None for any number.
+        Called with a limit in requests per second, 0 for no limit, and a replica's
+        name. Returns how many requests per second this node may send to the replica
+        while it is cold, or None if the number is unlimited.
 
     Examples
     --------
@@ -49,27 +54,27 @@
     7
     """
     count = len(nodes)
-    own_place = _find_ring_place(node)
+    own_position = _hash_to_ring(node)
     places: list[int] = []
 
     def find_allowance(limit_per_s, replica):
         if limit_per_s <= 0:
             return None
-        usable = max(1, int(limit_per_s * SAFETY))
+        usable = max(1, int(limit_per_s * SAFETY_FACTOR))
         if count <= usable:
             return usable // count
         if not places:
-            places.extend(sorted(map(_find_ring_place, nodes)))
-        begins = bisect_left(places, _find_ring_place(replica))
-        steps = (bisect_left(places, own_place) - begins) % count
+            places.extend(sorted(map(_hash_to_ring, nodes)))
+        first_sender = bisect_left(places, _hash_to_ring(replica))
+        steps = (bisect_left(places, own_position) - first_sender) % count
         return 1 if steps < usable else 0
 
     return find_allowance
 
 
-@lru_cache(maxsize=RING_NAMES_KEPT)
-def _find_ring_place(name):
-    """Return where a node or a replica stands on the ring."""
+@lru_cache(maxsize=RING_CACHE_SIZE)
+def _hash_to_ring(name):
+    """Return the position of a node or a replica on the hash ring."""
     return xxhash.xxh64_intdigest(name.encode())
 
 
@@ -84,41 +89,44 @@
     own_recent=0,
     nodes=1,
 ):
-    """Tell whether one more request may be sent to a replica now.
+    """Return whether one more request may be sent to a replica now.
 
-    A warm replica may turn cold without a word, and is known to be cold a second or
-    two later; so the limit holds for it too, but by the count of what all nodes sent.
-    Each node's share would leave most of a large fleet's nodes without most replicas.
+    A warm replica may become cold without notice, and nodes learn of it one or two
+    seconds later. The limit therefore holds for warm replicas too, but is compared with
+    the requests that all nodes sent. With a fixed share per node, most nodes of a large
+    fleet couldn't use most of the replicas.
 
-    Nodes hear of one another's requests late, and all may find the last of a limit free
-    at once. So until the others know what a node sent, it takes no more than its share
-    of what is left, or one.
+    Nodes learn of one another's requests with a delay, so several nodes may see the
+    same remaining part of the limit at once. Until the other nodes know of a node's
+    recent requests, it sends at most its share of the remaining part, or one request.
 
     Parameters
     ----------
     limit_per_s : float
-        What the replica bears from all nodes while it is cold.
+        Requests per second that the replica can process from all nodes while cold.
     allowance : int or None
-        This node's share; None where the service has no limit.
+        This node's share of the limit; None if the service has no limit.
     own_starts, all_starts : int
-        Requests sent there within the last second by this node and by all.
+        Requests sent to the replica within the last second, by this node and by all
+        nodes.
     is_cold : bool
-        Whether it is known to be cold.
-    is_last_resort : bool
-        Whether the request would be refused otherwise. Callers come to nodes unevenly,
-        and a busy node may then send a warm replica what others leave of its limit.
-    own_recent : int
-        Those of this node's that were sent within ``NEWS_S``.
-    nodes : int
-        Nodes that may be sending, this one among them.
+        Whether the replica is known to be cold.
+    is_last_resort : bool, default=False
+        Whether the request would be refused otherwise. Callers aren't distributed
+        evenly over the nodes, so a busy node may then use what other nodes leave of a
+        warm replica's limit.
+    own_recent : int, default=0
+        Requests of this node that were sent within the last ``NEWS_S`` seconds.
+    nodes : int, default=1
+        Number of nodes that may be sending, including this node.
     """
     if allowance is None:
         return True
-    left = math.ceil(limit_per_s * SAFETY) - all_starts
+    left = math.ceil(limit_per_s * SAFETY_FACTOR) - all_starts
     if left <= 0:
         return False
     if is_cold:
         return own_starts < allowance
     if own_recent >= max(1, left // nodes):
         return False
-    return is_last_resort or own_starts < max(allowance, WARM_STARTS)
+    return is_last_resort or own_starts < max(allowance, WARM_STARTS_PER_S)
--- a/lycheetide/placement/_estimate.py
+++ b/lycheetide/placement/_estimate.py
@@ -1,46 +1,49 @@
-"""How long a replica takes, by its engine's formula.
+"""Estimate processing times from an engine's performance model.
 
-A replica works in passes. A pass with writing requests runs a fixed number of token
-steps, and reads waiting prompts meanwhile; all that read makes the pass longer.
+A replica processes its requests in passes. A pass runs a fixed number of decode steps
+for all requests that are generating an answer, and prefills waiting prompts as well.
+The prefill time adds to the length of the pass, so it delays the tokens of all decoding
+requests.
 """
 
-STEPS_OF_AN_IDLE_PASS = 1
-"""A pass without writing requests runs no token steps; the first token costs one."""
+IDLE_PASS_STEPS = 1
+"""Steps of a pass without decoding requests: only the step that generates the first
+token of a new request."""
 
 
 def read_s(engine, tokens):
-    """Return the time to read a prompt alone.
+    """Return the time to prefill a prompt while nothing else is processed.
 
     Parameters
     ----------
     engine : Engine
-        Its figures.
+        Performance model of the replica.
     tokens : int
         Length of the prompt.
 
     Returns
     -------
     float
-        Seconds; grows with the square of the length.
+        Prefill time in seconds. It has a term that grows with the square of the length.
     """
     pairs = tokens * tokens / 2
     return tokens * engine.read_s_per_token + pairs * engine.read_s_per_pair
 
 
 def pass_s(engine, writers, context_tokens=0):
-    """Return the time of a pass without reading.
+    """Return the length of a pass without prefill, in seconds.
 
     Parameters
     ----------
     engine : Engine
-        Its figures.
+        Performance model of the replica.
     writers : int
-        Requests that write.
-    context_tokens : int
-        Their prompts and answers so far, together.
+        Number of decoding requests.
+    context_tokens : int, default=0
+        Total tokens of their prompts and of their answers so far.
     """
     if writers == 0:
-        return STEPS_OF_AN_IDLE_PASS * engine.step_s
+        return IDLE_PASS_STEPS * engine.step_s
     step_s = (
         engine.step_s
         + engine.step_s_per_writer * writers
@@ -49,26 +52,35 @@
     return engine.steps_per_pass * step_s
 
 
-def first_event_s(engine, *, own_read_s, backlog_s, writers, context_tokens=0):
-    """Return the expected time until a request's first event.
+def estimate_first_event_s(
+    engine, *, own_prefill_s, backlog_s, writers, context_tokens=0
+):
+    """Return the expected time until a request's first event, in seconds.
 
-    It waits for the pass in progress, half of one on average, and for the reading
-    that was sent before it; then its own pass reads the prompt and writes the event.
+    The request waits for the pass in progress, which takes half a pass on average, and
+    for the prefill of the prompts that were sent before it. Its own pass then prefills
+    the prompt and generates the first event.
     """
-    waiting_s = pass_s(engine, writers, context_tokens) / 2
-    writing_s = pass_s(engine, writers + 1, context_tokens)
-    return waiting_s + backlog_s + own_read_s + writing_s
+    remaining_pass_s = pass_s(engine, writers, context_tokens) / 2
+    own_pass_s = pass_s(engine, writers + 1, context_tokens)
+    return remaining_pass_s + backlog_s + own_prefill_s + own_pass_s
 
 
 CALLER_WAITS_S = 2.0
-CALLER_WAITS_TARGETS = 4.0
-CALLER_WAITS_GAPS = 8.0
-"""Callers give a stream up after the longest of: 2 s, 4 times the target of the first
-event, 8 times that of a gap."""
+PATIENCE_PER_TARGET = 4.0
+PATIENCE_PER_GAP = 8.0
+"""Callers abandon a stream after the longest of 2 s, 4 times the target time to the
+first event and 8 times the target gap between events."""
 
 
 def caller_patience_s(target_s, gap_s):
-    """Return how long a caller waits for the next event of a stream."""
-    return max(
-        CALLER_WAITS_S, CALLER_WAITS_TARGETS * target_s, CALLER_WAITS_GAPS * gap_s
-    )
+    """Return how long a caller waits for the next event of a stream, in seconds.
+
+    Parameters
+    ----------
+    target_s : float
+        Target time to the first event, in seconds.
+    gap_s : float
+        Target gap between two events, in seconds.
+    """
+    return max(CALLER_WAITS_S, PATIENCE_PER_TARGET * target_s, PATIENCE_PER_GAP * gap_s)
--- a/lycheetide/placement/_pack.py
+++ b/lycheetide/placement/_pack.py
@@ -1,116 +1,136 @@
 """Pack short prompts onto few replicas.
 
-Many writing requests on one replica hardly slow one another. Spread evenly they would
-stand wherever a long prompt is to be read, and be disturbed by each.
+Decoding requests of one replica hardly slow one another, so many of them can share it.
+If they were spread evenly, every replica would have some, and the prefill of each long
+prompt would delay them wherever it ran.
 """
 
 from bisect import bisect_right
 
 from lycheetide.placement._estimate import read_s
-from lycheetide.placement._queue import expect_alone_s, slot_wait_s
+from lycheetide.placement._queue import estimate_slot_wait_s, estimate_unsplit_s
 from lycheetide.placement._types import Placement
 
 SHORT_READ_S = 0.06
-"""Prompts that are read within this time count as short."""
-SHORT_WRITERS_MOST = 8
-"""Requests that are packed onto one replica before the next one is used."""
-SLOTS_KEPT = 1
-"""Slots that packing leaves free, since what others send is known a little late."""
-SHORT_BACKLOG_S = 0.02
-"""Reading ahead of a short prompt up to which packing goes on: less than one more."""
-PLACES_PER_UNKNOWN = 4.0
-"""Free places that are enough for one request that may be on its way: of those that
-choose one of four at random, few meet."""
-BEGINNING_SHARE = 0.02
-"""Part of the nodes that may have sent a request which no rate shows yet, as when all
-callers come back at once."""
-
-
-def count_unknown(starts_per_s, told_s, nodes):
-    """Return how many requests may be on their way that a node doesn't know of.
+"""Longest prefill time of a prompt that counts as short."""
+MAX_PACKED_REQUESTS = 8
+"""Number of requests that are packed onto one replica before the next one is used."""
+RESERVED_SLOTS = 1
+"""Slots of each replica that packing leaves free, because the requests that other nodes
+send become known with a delay."""
+MAX_PACKING_BACKLOG_S = 0.02
+"""Largest prefill backlog of a replica that short prompts are packed onto: less than
+the prefill of one short prompt."""
+SLOTS_PER_UNKNOWN_REQUEST = 4.0
+"""Free slots to choose from at random for each request that may be in flight. Among
+four slots, few requests choose the same one."""
+BURST_NODE_SHARE = 0.02
+"""Fraction of the nodes that may have sent a request that the measured rate doesn't
+include yet, for example when all callers reconnect at once."""
+
+
+def count_unknown(starts_per_s, propagation_delay_s, nodes):
+    """Return the estimated number of requests in flight that a node doesn't know of.
 
     Parameters
     ----------
     starts_per_s : float
-        Requests that all nodes send to the service.
-    told_s : float
-        How late a node knows of another one's.
+        Requests per second that all nodes together send to the service.
+    propagation_delay_s : float
+        Time until a node learns of a request that another node sent, in seconds.
     nodes : int
-        How many nodes send.
+        Number of nodes that send requests.
+
+    Returns
+    -------
+    float
 
     Examples
     --------
     >>> count_unknown(60.0, 0.003, 9), count_unknown(160.0, 0.1, 195)
     (0.36, 19.9)
     """
-    return starts_per_s * told_s + BEGINNING_SHARE * nodes
+    return starts_per_s * propagation_delay_s + BURST_NODE_SHARE * nodes
 
 
 def pack_prompt(engine, size, candidates, *, unknown=0.0, draw=0.0):
     """Return the placement of a short prompt.
 
-    Nodes that choose by the same late news all find the same replica the best, and fill
-    it beyond its slots. So each takes a place at random, among as many as are enough
-    for all that may be on its way; with none of that the first one.
+    Nodes that choose by the same outdated load would all find the same replica the
+    best one, and send it more requests than it has slots. Each node therefore chooses
+    a free slot at random. The number of slots to choose from grows with the number of
+    requests that may be in flight; if that is 0, the first free slot is taken.
 
     Parameters
     ----------
     engine : Engine
-        The service's figures.
+        Performance model of the service's replicas.
     size : Size
-        The prompt.
+        Tokens of the request.
     candidates : sequence of Candidate
-        Replicas that have the memory for it.
-    unknown : float
-        Requests that may be on their way and aren't counted in the candidates.
-    draw : float
-        A random number, from 0 up to 1.
+        Replicas that have memory for the request.
+    unknown : float, default=0.0
+        Estimated number of requests in flight that the candidates' load doesn't
+        include.
+    draw : float, default=0.0
+        Random number, at least 0 and less than 1.
+
+    Returns
+    -------
+    Placement
+        If no short prompt may be packed onto any replica, the one with the earliest
+        expected first event.
     """
-    roomy = [one for one in candidates if _has_room(one)]
-    if roomy:
-        roomy.sort(key=lambda one: one.rank)
-        first = _draw_place(roomy, PLACES_PER_UNKNOWN * unknown, draw)
+    available = [replica for replica in candidates if _has_room(replica)]
+    if available:
+        available.sort(key=lambda replica: replica.rank)
+        first = _draw_replica(available, SLOTS_PER_UNKNOWN_REQUEST * unknown, draw)
     else:
-        first = min(candidates, key=lambda one: expect_alone_s(engine, one, size))
+        first = min(
+            candidates, key=lambda replica: estimate_unsplit_s(engine, replica, size)
+        )
     return Placement(
         first,
         (),
-        expected_s=expect_alone_s(engine, first, size),
+        expected_s=estimate_unsplit_s(engine, first, size),
         part_read_s=read_s(engine, size.prompt_tokens),
-        waits_s=first.backlog_s + slot_wait_s(engine, first, size),
+        waits_s=first.backlog_s + estimate_slot_wait_s(engine, first, size),
     )
 
 
-def _draw_place(roomy, wanted, draw):
-    """Return the replica of one of the first free places, at random.
+def _draw_replica(available, slots_needed, draw):
+    """Return the replica of a random one of the first free slots.
 
     Parameters
     ----------
-    roomy : list of Candidate
-        Replicas with room, in the order in which they are filled.
-    wanted : float
-        How many places are enough.
+    available : list of Candidate
+        Replicas with free slots, in the order in which they are filled.
+    slots_needed : float
+        Number of free slots to choose from. Replicas are added until it is reached.
     draw : float
-        A random number, from 0 up to 1.
+        Random number, at least 0 and less than 1.
     """
-    fills: list[int] = []
-    for one in roomy:
-        fills.append((fills[-1] if fills else 0) + _count_places(one))
-        if fills[-1] >= wanted:
+    cumulative_slots: list[int] = []
+    for replica in available:
+        cumulative_slots.append(
+            (cumulative_slots[-1] if cumulative_slots else 0)
+            + _count_free_slots(replica)
+        )
+        if cumulative_slots[-1] >= slots_needed:
             break
-    return roomy[bisect_right(fills, draw * fills[-1])]
+    return available[bisect_right(cumulative_slots, draw * cumulative_slots[-1])]
 
 
-def _count_places(candidate):
-    """Return how many more short prompts may be packed onto a replica."""
-    most = min(SHORT_WRITERS_MOST, candidate.slots - SLOTS_KEPT)
-    return most - candidate.writers
+def _count_free_slots(candidate):
+    """Return the number of slots of a replica that are left for packing."""
+    limit = min(MAX_PACKED_REQUESTS, candidate.slots - RESERVED_SLOTS)
+    return limit - candidate.writers
 
 
 def _has_room(candidate):
-    """Tell whether a short prompt may be packed onto a replica."""
+    """Return whether a short prompt may be packed onto a replica."""
     return (
-        _count_places(candidate) > 0
-        and candidate.backlog_s <= SHORT_BACKLOG_S
+        _count_free_slots(candidate) > 0
+        and candidate.backlog_s <= MAX_PACKING_BACKLOG_S
         and not (candidate.is_recovering or candidate.is_cold)
     )
--- a/lycheetide/placement/_spread.py
+++ b/lycheetide/placement/_spread.py
@@ -1,119 +1,128 @@
-"""Read a long prompt in parts, at as little harm to others as its own target allows.
-
-Each part lengthens one pass of its replica, so all that write there pause for as long.
-Read by many replicas a prompt is early, and every replica stands still for a moment;
-read by few it is later, and the others are free. Which is better depends on how long
-the parts are beside the pauses that writers bear, and on the replicas that are left for
-what comes meanwhile. So every number of readers is priced, in the weight of the
-requests that would be late, and the cheapest is taken.
+"""Split the prefill of a long prompt over several replicas.
+
+The number of replicas is chosen so that the prompt meets its target and delays as few
+other requests as possible. Each part of the prompt lengthens one pass of its replica,
+and all decoding requests there pause for that time. With many readers, the replicas
+that prefill a part, the first event comes early, but every replica pauses briefly. With
+few readers it comes later, but the other replicas aren't disturbed. Which one is better
+depends on the length of the parts compared with the gaps that the decoding requests
+tolerate, and on the replicas that are left for requests that arrive meanwhile. The cost
+is therefore computed for several numbers of readers, as the weight of the requests that
+would be late, and the number with the lowest cost is used.
 """
 
 from dataclasses import dataclass
 
 from lycheetide.placement._estimate import pass_s, read_s
-from lycheetide.placement._pack import SLOTS_KEPT
-from lycheetide.placement._queue import has_memory, slot_wait_s, wait_s
+from lycheetide.placement._pack import RESERVED_SLOTS
+from lycheetide.placement._queue import estimate_slot_wait_s, has_memory, wait_s
 from lycheetide.placement._tickets import needs_sharing, share_memory
 from lycheetide.placement._types import Arrivals, Candidate, Placement, Size
 
 HELPERS_MOST = 16
-"""What a replica accepts in one request."""
-READERS = (1, 2, 3, 4, 5, 6, 8, 10, 13, 17)
-"""Numbers of replicas that are priced; between them the price changes little."""
-SOON = 0.7
-"""Part of the target up to which a first event isn't at risk; the rest is for what
-isn't foreseen."""
-LATE = 0.75
-"""Part of its worth that a request loses by being late."""
-HURRY = 0.1
-"""Price of a target's length of waiting, as a part of the prompt's weight: what is
-answered sooner is out of the way of others, and is lost to fewer failures."""
+"""Maximum number of helpers that a replica accepts in one request."""
+READER_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 13, 17)
+"""Numbers of readers whose cost is computed. The cost changes little between them."""
+ON_TIME_SHARE = 0.7
+"""Fraction of the target up to which a first event isn't at risk of being late. The
+rest is a margin for delays that the estimate doesn't include."""
+LATENESS_LOSS = 0.75
+"""Fraction of its value that a request loses by being late."""
+WAITING_COST = 0.1
+"""Cost of waiting for as long as the target, as a fraction of the prompt's weight. A
+request that is answered sooner delays others for less time and is exposed to fewer
+failures."""
 READER_COST = 0.01
-"""Price of one more reader, in weight: it may be gone, or slower than is known."""
-GAP_SHARE = 0.8
-"""Part of the pause that its callers bear that a replica's reading may fill."""
-CALM = 0.4
-"""Part of the shortest target for which a replica may read before it counts as blocked
-for short prompts."""
+"""Cost of each further reader, in weight: it may have failed, or may be slower than
+known."""
+USABLE_GAP_SHARE = 0.8
+"""Fraction of the gap tolerated by its callers that a replica's pass may take."""
+BLOCKING_SHARE = 0.4
+"""Fraction of the service's shortest target for which a replica may be busy with
+prefill before it counts as blocked for short prompts."""
 
 
 @dataclass(frozen=True)
-class Wanted:
-    """What a long prompt needs.
+class LongPrompt:
+    """A long prompt and its time limits.
 
     Parameters
     ----------
     size : Size
-        The prompt.
-    whole_s : float
-        Its reading, at one replica.
+        Tokens of the request.
+    prefill_s : float
+        Prefill time of the whole prompt at one replica, in seconds.
     target_s, left_s : float
-        The time within which its first event is wanted, and what is left of that.
+        Target time to the first event and the remaining part of it, in seconds.
     patience_s : float
-        When its caller leaves without one.
+        Time after which the caller disconnects without a first event, in seconds.
     """
 
     size: Size
-    whole_s: float
+    prefill_s: float
     target_s: float
     left_s: float
     patience_s: float
 
     def worth(self, expected_s):
-        """Return what a first event at a time is worth to its caller, in weight."""
+        """Return the value to the caller of a first event after ``expected_s``."""
         if expected_s >= self.patience_s:
             return 0.0
-        return self.size.weight * (1.0 - LATE * self._risk(expected_s))
+        return self.size.weight * (
+            1.0 - LATENESS_LOSS * self._lateness_risk(expected_s)
+        )
 
     def own_cost(self, expected_s):
-        """Return what a first event at a time costs its own caller, in weight."""
-        hurry = HURRY * min(expected_s, self.patience_s) / self.target_s
-        return self.size.weight * (1.0 + hurry) - self.worth(expected_s)
+        """Return the cost to the caller of a first event after ``expected_s``."""
+        waiting_cost = WAITING_COST * min(expected_s, self.patience_s) / self.target_s
+        return self.size.weight * (1.0 + waiting_cost) - self.worth(expected_s)
 
-    def _risk(self, expected_s):
-        """Return how likely a first event expected by then comes late."""
+    def _lateness_risk(self, expected_s):
+        """Return the probability that the first event is late, estimated linearly."""
         if expected_s >= self.left_s:
             return 1.0
-        return max(0.0, (expected_s / self.left_s - SOON) / (1.0 - SOON))
+        return max(
+            0.0, (expected_s / self.left_s - ON_TIME_SHARE) / (1.0 - ON_TIME_SHARE)
+        )
 
 
 @dataclass(frozen=True)
-class _Open:
-    """A replica as it is before a part of the prompt is read there.
+class _OpenReplica:
+    """A replica that may take part, before a part of the prompt is assigned to it.
 
     Parameters
     ----------
     candidate : Candidate
-        Which.
+        The replica.
     wait_s : float
-        Until it begins.
+        Expected time until a prefill can begin there, in seconds.
     pause_s : float
-        How long its writers pause without the part.
-    harmed : float
-        Weight of those that notice that pause already.
+        Pause of its decoding requests without the part, in seconds.
+    harmed_weight : float
+        Weight of the decoding requests that this pause is already too long for.
     """
 
     candidate: Candidate
     wait_s: float
     pause_s: float
-    harmed: float
+    harmed_weight: float
 
 
 @dataclass(frozen=True)
 class _Reader:
-    """A replica, and what it would cost to read a part there.
+    """A replica with the cost of prefilling a part of the prompt there.
 
     Parameters
     ----------
-    open : _Open
-        Which.
+    open : _OpenReplica
+        The replica before the part is assigned to it.
     harm : float
-        Weight of the requests there that the reading makes late.
+        Weight of the requests there that the prefill makes late.
     cost : float
-        That, and what the wait costs the prompt itself.
+        Total cost: ``harm`` and the cost of the wait to the prompt's own caller.
     """
 
-    open: _Open
+    open: _OpenReplica
     harm: float
     cost: float
 
@@ -134,26 +143,27 @@
     arrivals=Arrivals(),  # noqa: B008
     helpers_most=HELPERS_MOST,
 ):
-    """Return where a long prompt goes, or None where its memory is not to be had.
+    """Return the placement of a long prompt, or None if there isn't enough memory.
 
     Parameters
     ----------
     engine : Engine
-        The service's figures.
+        Performance model of the service's replicas.
     size : Size
-        The prompt.
+        Tokens of the request.
     candidates : sequence of Candidate
         Replicas that may take part.
     target_s : float
-        The time within which its first event is wanted.
-    left_s : float or None
-        What is left of that; None for all of it.
-    patience_s : float
-        When its caller leaves without one.
+        Target time to the first event, in seconds.
+    left_s : float or None, default=None
+        Remaining part of the target; None for all of it.
+    patience_s : float, default=inf
+        Time after which the caller disconnects without a first event, in seconds.
     arrivals : Arrivals
-        What comes to the service meanwhile.
+        Arrival rate of the service's requests.
     helpers_most : int
-        How many replicas may take part besides the first.
+        Maximum number of replicas that take part besides the first. It is ignored if
+        the prompt needs the memory of several replicas.
 
     Returns
     -------
@@ -161,7 +171,7 @@
     """
     if not candidates:
         return None
-    wanted = Wanted(
+    prompt = LongPrompt(
         size,
         read_s(engine, size.prompt_tokens),
         target_s,
@@ -169,54 +179,58 @@
         patience_s,
     )
     if needs_sharing(engine, size.tokens):
-        # Without others there is no memory for it, whoever refused it before.
+        # A prompt this large needs the memory of several replicas, so helpers are
+        # allowed even if a replica refused the request with helpers before.
         helpers_most = HELPERS_MOST
-    most = min(helpers_most + 1, len(candidates))
-    counts = [count for count in READERS if count < most] + [most]
-    replicas = [_look_at(engine, one) for one in candidates]
-    plans = (_plan(engine, wanted, replicas, arrivals, count) for count in counts)
-    found = [plan for plan in plans if plan is not None]
-    if not found:
+    max_readers = min(helpers_most + 1, len(candidates))
+    counts = [count for count in READER_COUNTS if count < max_readers] + [max_readers]
+    replicas = [_assess_replica(engine, candidate) for candidate in candidates]
+    plans = (_price_plan(engine, prompt, replicas, arrivals, count) for count in counts)
+    feasible = [plan for plan in plans if plan is not None]
+    if not feasible:
         return None
-    _, placement = min(found, key=lambda plan: plan[0])
+    _, placement = min(feasible, key=lambda plan: plan[0])
     return placement
 
 
-def _look_at(engine, candidate):
-    """Return a replica as it is now."""
+def _assess_replica(engine, candidate):
+    """Return a replica with its wait and pause before a part is assigned to it."""
     pause_s = pass_s(engine, candidate.writers, candidate.kv_tokens)
     pause_s += candidate.backlog_s
-    return _Open(
+    return _OpenReplica(
         candidate,
         wait_s(engine, candidate),
         pause_s,
-        candidate.disturbed_weight(pause_s / GAP_SHARE),
+        candidate.disturbed_weight(pause_s / USABLE_GAP_SHARE),
     )
 
 
-def _plan(engine, wanted, replicas, arrivals, count):
-    """Return the cost and the placement of reading by a number of replicas, or None."""
-    part_s = wanted.whole_s / count
-    readers = _price_all(wanted, replicas, part_s)
-    team = _choose_team(engine, wanted.size, readers, count)
-    if team is None:
+def _price_plan(engine, prompt, replicas, arrivals, count):
+    """Return the cost and the placement for a number of readers, or None.
+
+    None is returned if there are too few eligible replicas or too little memory.
+    """
+    part_s = prompt.prefill_s / count
+    readers = _price_readers(prompt, replicas, part_s)
+    chosen = _choose_readers(engine, prompt.size, readers, count)
+    if chosen is None:
         return None
-    first, others, holders = team
-    begins_s = max(
-        slot_wait_s(engine, first.candidate, wanted.size),
+    first, others, holders = chosen
+    prefill_start_s = max(
+        estimate_slot_wait_s(engine, first.candidate, prompt.size),
         first.open.wait_s,
         *(reader.open.wait_s for reader in others),
     )
-    writing_s = pass_s(engine, first.candidate.writers + 1, wanted.size.tokens)
-    expected_s = begins_s + part_s + writing_s
-    harm = LATE * (
+    own_pass_s = pass_s(engine, first.candidate.writers + 1, prompt.size.tokens)
+    expected_s = prefill_start_s + part_s + own_pass_s
+    harm = LATENESS_LOSS * (
         first.harm
         + sum(reader.harm for reader in others)
-        + _count_blocked(replicas, (first, *others), arrivals, part_s)
+        + _count_blocked_arrivals(replicas, (first, *others), arrivals, part_s)
     )
-    held = {share.replica.id for share in holders}
+    holder_ids = {share.replica.id for share in holders}
     helpers = tuple(
-        reader.candidate for reader in others if reader.candidate.id not in held
+        reader.candidate for reader in others if reader.candidate.id not in holder_ids
     )
     placement = Placement(
         first.candidate,
@@ -224,18 +238,19 @@
         expected_s,
         part_s,
         holders,
-        begins_s,
+        prefill_start_s,
         harm,
-        wanted.worth(expected_s),
+        prompt.worth(expected_s),
     )
-    return harm + wanted.own_cost(expected_s) + READER_COST * count, placement
+    return harm + prompt.own_cost(expected_s) + READER_COST * count, placement
 
 
-def _price_all(wanted, replicas, part_s):
-    """Return replicas with what it costs to read a part there, the cheapest first.
+def _price_readers(prompt, replicas, part_s):
+    """Return the replicas with the cost of prefilling a part there, cheapest first.
 
-    Writers that pause too long already, for what was sent there before, lose nothing
-    more; so long prompts gather where others are being read.
+    Decoding requests whose pause is already too long, because of prompts that were sent
+    there before, add no further cost. Long prompts therefore gather on the replicas
+    that are prefilling others.
     """
     own_costs: dict[float, float] = {}
     readers = []
@@ -243,77 +258,97 @@
         candidate = replica.candidate
         harm = 0.0
         if candidate.writing:
-            noticed_s = (replica.pause_s + part_s) / GAP_SHARE
-            harm = candidate.disturbed_weight(noticed_s) - replica.harmed
+            required_gap_s = (replica.pause_s + part_s) / USABLE_GAP_SHARE
+            harm = candidate.disturbed_weight(required_gap_s) - replica.harmed_weight
         if candidate.unread:
             harm += candidate.overtaken_weight(part_s)
         own_cost = own_costs.get(replica.wait_s)
         if own_cost is None:
-            own_cost = wanted.own_cost(replica.wait_s + part_s)
+            own_cost = prompt.own_cost(replica.wait_s + part_s)
             own_costs[replica.wait_s] = own_cost
-        readers.append(_Reader(replica, harm, LATE * harm + own_cost))
+        readers.append(_Reader(replica, harm, LATENESS_LOSS * harm + own_cost))
     readers.sort(key=lambda reader: (reader.cost, -reader.candidate.rank))
     return readers
 
 
-def _choose_team(engine, size, readers, count):
-    """Return the first reader, the others, and who holds memory, or None.
+def _choose_readers(engine, size, readers, count):
+    """Return the first reader, the other readers and the memory shares, or None.
 
     Parameters
     ----------
     engine : Engine
-        The service's figures.
+        Performance model of the service's replicas.
     size : Size
-        The prompt.
+        Tokens of the request.
     readers : list of _Reader
-        The cheapest first.
+        Replicas with their costs, the cheapest first.
     count : int
-        How many take part.
+        Number of readers to choose.
     """
     if needs_sharing(engine, size.tokens):
-        team = _choose_holders(engine, size, readers, count)
-        if team is not None:
-            return team
-    fitting = (one for one in readers if has_memory(engine, size, one.candidate))
+        chosen = _choose_holders(engine, size, readers, count)
+        if chosen is not None:
+            return chosen
+    fitting = (
+        reader for reader in readers if has_memory(engine, size, reader.candidate)
+    )
     first = next(fitting, None)
     if first is None:
         return None
-    able = [one for one in readers if one is not first and one.candidate.may_help]
-    if len(able) < count - 1:
+    eligible = [
+        reader
+        for reader in readers
+        if reader is not first and reader.candidate.may_help
+    ]
+    if len(eligible) < count - 1:
         return None
-    return first, able[: count - 1], ()
+    return first, eligible[: count - 1], ()
 
 
 def _choose_holders(engine, size, readers, count):
-    """Return a team that holds a prompt's memory together, or None."""
-    able = [one for one in readers if one.candidate.may_help][:count]
-    if len(able) < count:
+    """Return readers that hold a prompt's KV cache together, or None."""
+    eligible = [reader for reader in readers if reader.candidate.may_help][:count]
+    if len(eligible) < count:
         return None
-    first, holders = share_memory(engine, size.tokens, [one.candidate for one in able])
+    first, holders = share_memory(
+        engine, size.tokens, [reader.candidate for reader in eligible]
+    )
     if first is None:
         return None
-    by_id = {one.candidate.id: one for one in able}
+    by_id = {reader.candidate.id: reader for reader in eligible}
     own = by_id.pop(first.id)
     return own, list(by_id.values()), holders
 
 
-def _count_blocked(replicas, readers, arrivals, part_s):
-    """Return how many arrivals find no replica in time while a prompt is read.
+def _count_blocked_arrivals(replicas, readers, arrivals, part_s):
+    """Return how many arriving requests find no replica in time during a prefill.
 
-    Each replica ends requests at the rate at which it got them, so those that are not
-    reading take their own share of what comes, and fill the slots that are free.
+    Each replica is assumed to finish requests at the rate at which it received them.
+    The replicas that aren't readers therefore process their usual share of the
+    arrivals, and can take more until their free slots are used.
     """
-    calm_s = CALM * arrivals.target_s
-    busy_s = part_s + sum(one.candidate.backlog_s for one in readers) / len(readers)
+    calm_s = BLOCKING_SHARE * arrivals.target_s
+    busy_s = part_s + sum(reader.candidate.backlog_s for reader in readers) / len(
+        readers
+    )
     if busy_s <= calm_s:
         return 0.0
-    reading = {reader.candidate.id for reader in readers}
-    everyone = [replica.candidate for replica in replicas]
-    open_now = [
-        one for one in everyone if one.id not in reading and one.backlog_s <= calm_s
+    reader_ids = {reader.candidate.id for reader in readers}
+    all_candidates = [replica.candidate for replica in replicas]
+    open_candidates = [
+        candidate
+        for candidate in all_candidates
+        if candidate.id not in reader_ids and candidate.backlog_s <= calm_s
     ]
-    writers = sum(one.writers for one in everyone)
-    open_writers = sum(one.writers for one in open_now)
-    free = sum(max(0, one.slots - SLOTS_KEPT - one.writers) for one in open_now)
-    share = open_writers / writers if writers else len(open_now) / len(everyone)
-    return max(0.0, arrivals.per_s * (busy_s - calm_s) * (1.0 - share) - free)
+    writers = sum(candidate.writers for candidate in all_candidates)
+    writers_of_open = sum(candidate.writers for candidate in open_candidates)
+    free_slots = sum(
+        max(0, candidate.slots - RESERVED_SLOTS - candidate.writers)
+        for candidate in open_candidates
+    )
+    share = (
+        writers_of_open / writers
+        if writers
+        else len(open_candidates) / len(all_candidates)
+    )
+    return max(0.0, arrivals.per_s * (busy_s - calm_s) * (1.0 - share) - free_slots)
--- a/lycheetide/placement/_tickets.py
+++ b/lycheetide/placement/_tickets.py
@@ -1,64 +1,71 @@
-"""Share the memory of a prompt that is too large for one replica."""
+"""Distribute the KV cache of a prompt that is too large for one replica."""
 
 from collections.abc import Sequence
 
 from lycheetide.placement._types import Candidate, MemoryShare
 
-LARGEST_SHARE = 0.6
-"""Part of a replica's memory that one prompt may take, so that short work has room."""
-OWN_SHARE = 0.45
-"""Part of its memory that the first replica keeps of the prompt; it also writes."""
+MAX_MEMORY_SHARE = 0.6
+"""Largest fraction of a replica's memory that one prompt may use. The rest is left for
+short prompts."""
+FIRST_MEMORY_SHARE = 0.45
+"""Largest fraction of the first replica's memory that its share of the prompt uses. It
+is smaller, since this replica also generates the answer."""
 
 
 def needs_sharing(engine, tokens):
-    """Tell whether a request takes more of one replica's memory than it should."""
-    return tokens > LARGEST_SHARE * engine.kv_tokens
+    """Return whether a request needs more memory than one replica may give it."""
+    return tokens > MAX_MEMORY_SHARE * engine.kv_tokens
 
 
 def count_room(engine, candidates: Sequence[Candidate]):
-    """Return how many tokens of prompts replicas together may set aside."""
+    """Return how many prompt tokens the replicas together can reserve memory for."""
     return sum(
-        max(0, int(LARGEST_SHARE * (engine.kv_tokens - one.kv_tokens)))
-        for one in candidates
+        max(0, int(MAX_MEMORY_SHARE * (engine.kv_tokens - candidate.kv_tokens)))
+        for candidate in candidates
     )
 
 
 def share_memory(engine, tokens, candidates: Sequence[Candidate]):
-    """Return which replicas set how much memory aside.
+    """Return how a request's KV cache is distributed over replicas.
 
-    The emptiest come first, and those with little to read before others, since each
-    also reads a part of the prompt.
+    Replicas with the least memory in use are chosen first. Ties go to the smallest
+    prefill backlog, since each replica also prefills a part of the prompt.
 
     Parameters
     ----------
     engine : Engine
-        The service's figures.
+        Performance model of the service's replicas.
     tokens : int
-        Prompt and answer.
+        Tokens of the prompt and the answer together.
     candidates : sequence of Candidate
         Replicas that may take part.
 
     Returns
     -------
     first : Candidate or None
-        Gets the request and keeps the rest of its memory; None where the replicas
-        together don't have the room.
+        Replica that receives the request and holds the rest of its memory; None if the
+        replicas together don't have enough memory.
     shares : tuple of MemoryShare
-        The others.
+        Memory that the other replicas reserve.
     """
     order = sorted(
-        candidates, key=lambda one: (one.kv_tokens, one.backlog_s, -one.rank)
+        candidates,
+        key=lambda candidate: (
+            candidate.kv_tokens,
+            candidate.backlog_s,
+            -candidate.rank,
+        ),
     )
     if not order:
         return None, ()
     first, *others = order
     room = engine.kv_tokens - first.kv_tokens
-    left = tokens - int(min(OWN_SHARE * engine.kv_tokens, 0.8 * room))
+    left = tokens - int(min(FIRST_MEMORY_SHARE * engine.kv_tokens, 0.8 * room))
     shares = []
     for other in others:
         if left <= 0:
             break
-        room = LARGEST_SHARE * (engine.kv_tokens - other.kv_tokens)
+        room = MAX_MEMORY_SHARE * (engine.kv_tokens - other.kv_tokens)
         part = int(min(left, room))
         shares.append(MemoryShare(other, part))
         left -= part
--- a/lycheetide/placement/_types.py
+++ b/lycheetide/placement/_types.py
@@ -1,48 +1,50 @@
-"""What placement is told and what it answers."""
+"""Inputs and results of the placement functions."""
 
 from dataclasses import dataclass
 
-OTHER_DOMAIN_COST_S = 0.002
-"""A round trip between failure domains."""
-RECOVERING_COST_S = 0.15
-"""For a replica that was silent: others first while they are quick."""
-COLD_COST_S = 0.05
-"""For a replica that has just started, which is slow for some seconds."""
-WAITS_PATIENCE = 0.5
-"""Part of its caller's patience for which a prompt may stand behind others. What waits
-longer seldom gets its first event before its caller leaves; its place was wasted."""
+CROSS_DOMAIN_PENALTY_S = 0.002
+"""Penalty for a replica in another failure domain: one round trip between domains."""
+RECOVERING_PENALTY_S = 0.15
+"""Penalty for a replica that was silent and hasn't answered since. Other replicas are
+preferred while they are fast enough."""
+COLD_PENALTY_S = 0.05
+"""Penalty for a cold replica, which is slow for some seconds after its start."""
+MAX_WAIT_PATIENCE_SHARE = 0.5
+"""Largest fraction of its caller's patience that a prompt may wait for its prefill. A
+prompt that waits longer seldom produces its first event before the caller disconnects,
+so its slot is wasted."""
 TOKENS_PER_WEIGHT = 15_000
-"""A prompt weighs one more request for each so many tokens."""
+"""Prompt tokens that add 1 to the weight of a request."""
 
 
 @dataclass(frozen=True)
 class Size:
-    """What a request asks of a replica; zeros for one without a prompt."""
+    """Tokens that a request needs; both are 0 for a request without a prompt."""
 
     prompt_tokens: int = 0
     answer_tokens: int = 0
 
     @property
     def tokens(self):
-        """All tokens that it may take."""
+        """Tokens of the prompt and of the longest answer together."""
         return self.prompt_tokens + self.answer_tokens
 
     @property
     def weight(self):
-        """How many short requests it counts as where one is weighed against others."""
+        """Cost of the request in units of one short request."""
         return 1.0 + self.prompt_tokens / TOKENS_PER_WEIGHT
 
 
 @dataclass(frozen=True)
 class GapGroup:
-    """Requests that write at one replica and bear pauses of the same length.
+    """Decoding requests of one replica that tolerate the same gap between events.
 
     Parameters
     ----------
     gap_s : float
-        The longest pause between two events that their callers don't notice.
+        Longest gap between two events that the callers don't notice, in seconds.
     weight : float
-        Of them together.
+        Total weight of the requests.
     """
 
     gap_s: float
@@ -51,14 +53,15 @@
 
 @dataclass(frozen=True)
 class UnreadPrompt:
-    """A prompt, or a part of one, that a replica hasn't read yet.
+    """A prompt, or a part of one, whose prefill at a replica isn't done.
 
     Parameters
     ----------
     slack_s : float
-        How much later it may be read without being late; below 0 where it is.
+        Additional delay, in seconds, that the prompt tolerates before it is late;
+        negative if it is late already.
     weight : float
-        How many short requests it counts as.
+        Weight of its request, in units of one short request.
     """
 
     slack_s: float
@@ -67,14 +70,14 @@
 
 @dataclass(frozen=True)
 class Arrivals:
-    """The requests that come to a service meanwhile.
+    """Arrival rate of requests for a service.
 
     Parameters
     ----------
     per_s : float
-        How many start a second, at all nodes.
+        Requests that start per second, at all nodes.
     target_s : float
-        The shortest time in which a route of the service wants a first event.
+        Shortest target for the first event among the service's routes, in seconds.
     """
 
     per_s: float = 0.0
@@ -83,32 +86,34 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A replica that may take work, and what is known of its load.
+    """A replica that may be sent a request, with its known load.
 
     Parameters
     ----------
     id, address : str
-        Which it is.
+        Identity and network address of the replica.
     rank : int
-        Its place in an order that is the same at all nodes.
+        Position in an order that all nodes agree on.
     slots : int
-        Requests it processes at once.
-    writers, helping : int
-        What is sent there and hasn't ended.
+        Number of requests that the replica processes concurrently.
+    writers : int
+        Number of unfinished requests whose answers the replica generates.
+    helping : int
+        Number of unfinished prompts of other replicas that it prefills a part of.
     writing : tuple of GapGroup
-        The writers, by the pauses that they bear.
+        The decoding requests, grouped by the gap that they tolerate.
     backlog_s : float
-        Reading that was sent there and isn't done.
+        Prefill time of the prompts that were sent there and aren't done, in seconds.
     unread : tuple of UnreadPrompt
-        What it hasn't read yet.
+        Prompts whose prefill isn't done.
     kv_tokens : int
-        Memory taken.
+        KV cache memory in use, in tokens.
     is_near : bool
-        Whether it stands in this node's failure domain.
+        Whether the replica is in this node's failure domain.
     is_recovering : bool
         Whether it was silent and hasn't answered since.
     is_cold : bool
-        Whether it has just started, or turned cold.
+        Whether it has just started, or has become cold again.
     """
 
     id: str
@@ -126,36 +131,37 @@
     is_cold: bool = False
 
     @property
-    def extra_s(self):
-        """What speaks against it beside its load."""
+    def penalty_s(self):
+        """Penalty in seconds for everything besides the replica's load."""
         return (
-            (0.0 if self.is_near else OTHER_DOMAIN_COST_S)
-            + (RECOVERING_COST_S if self.is_recovering else 0.0)
-            + (COLD_COST_S if self.is_cold else 0.0)
+            (0.0 if self.is_near else CROSS_DOMAIN_PENALTY_S)
+            + (RECOVERING_PENALTY_S if self.is_recovering else 0.0)
+            + (COLD_PENALTY_S if self.is_cold else 0.0)
         )
 
     @property
     def may_help(self):
-        """Whether it may read a part of another replica's prompt."""
+        """Whether the replica may prefill a part of another replica's prompt."""
         is_trusted = not (self.is_recovering or self.is_cold)
         return is_trusted and self.helping < self.slots - 1
 
     def disturbed_weight(self, pause_s):
-        """Return the weight of those writers that notice a pause."""
+        """Return the weight of the decoding requests that a pause is too long for."""
         return sum(group.weight for group in self.writing if group.gap_s < pause_s)
 
     def overtaken_weight(self, part_s):
-        """Return the weight of the prompts here that a part makes late.
+        """Return the weight of the waiting prompts that a new part makes late.
 
-        A replica reads a part of another's prompt ahead of all that it hasn't read.
-        A prompt whose other parts were read long ago then waits for this replica alone.
+        A replica prefills a part of another replica's prompt before all prompts that
+        wait there. A waiting prompt whose other parts are done at other replicas is
+        then delayed by this replica alone.
         """
         return sum(one.weight for one in self.unread if 0.0 < one.slack_s < part_s)
 
 
 @dataclass(frozen=True)
 class MemoryShare:
-    """Memory that one replica sets aside for another's request."""
+    """KV cache memory that a replica reserves for a request of another replica."""
 
     replica: Candidate
     tokens: int
@@ -163,26 +169,26 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """Where a request goes.
+    """The replicas that process a request, with the estimated times and costs.
 
     Parameters
     ----------
     first : Candidate
-        Gets the request and writes the answer.
+        Replica that receives the request and generates the answer.
     helpers : tuple of Candidate
-        Read a part of the prompt each.
-    holders : tuple of MemoryShare
-        Read a part each as well, and hold a share of its memory.
+        Replicas that prefill one part of the prompt each.
     expected_s : float
-        Until the first event.
+        Estimated time until the first event, in seconds.
     part_read_s : float
-        Reading of each part.
+        Prefill time of each part, in seconds.
+    holders : tuple of MemoryShare
+        Replicas that prefill one part each and also hold a share of its KV cache.
     waits_s : float
-        Until its reading begins.
+        Estimated time until the prefill begins, in seconds.
     harm : float
-        Weight of the requests that its reading makes late.
+        Weight of the other requests that the prefill makes late.
     worth : float
-        What the answer is worth to its caller by then, in the same weight.
+        Value of the answer to its caller at ``expected_s``, in the same unit.
     """
 
     first: Candidate
@@ -195,20 +201,26 @@
     worth: float = 1.0
 
     def waits_too_long(self, patience_s):
-        """Tell whether its caller would most likely leave before the first event."""
-        return self.waits_s > WAITS_PATIENCE * patience_s
+        """Return whether the caller would probably disconnect before the first event.
+
+        Parameters
+        ----------
+        patience_s : float
+            Time for which the caller waits for the first event, in seconds.
+        """
+        return self.waits_s > MAX_WAIT_PATIENCE_SHARE * patience_s
 
     def is_worthwhile(self, patience_s):
-        """Tell whether a caller gets more from this place than others lose by it.
+        """Return whether the placement gains its caller more than it costs others.
 
-        A caller that would leave while its request stands behind others gets nothing.
-        And a long prompt that can only be read where many write would make more
-        requests late than it counts for itself; a moment later there may be room, or
-        its caller comes back.
+        A caller that would disconnect while its request waits gains nothing. A long
+        prompt for which only busy replicas are left would make requests late that
+        weigh more than itself. It is better to try again shortly after, when there
+        may be capacity, or to let its caller retry.
 
         Parameters
         ----------
         patience_s : float
-            How long its caller waits for the first event.
+            Time for which the caller waits for the first event, in seconds.
         """
         return not self.waits_too_long(patience_s) and self.harm <= self.worth
--- a/lycheetide/placement/tests/test_choose.py
+++ b/lycheetide/placement/tests/test_choose.py
@@ -1,8 +1,8 @@
-"""Where prompts go when short and huge ones share the replicas.
+"""Tests of placement while short and long prompts share the replicas.
 
-The pattern is that of an ordinary hour: many short prompts (5,000 tokens) and now and
-then an archive search (133,000 tokens, some far longer). The engine's figures are those
-of a large dense model on two accelerators.
+The load is a typical mix: many short prompts of 5,000 tokens and occasional archive
+searches of 133,000 tokens, some of them far longer. The engine's performance model is
+that of a large dense model on two accelerators.
 """
 
 import dataclasses
@@ -36,20 +36,20 @@
     read_s_per_token=1 / 206_000,
     read_s_per_pair=0.138e-9,
 )
-QUICK = Size(5_000, 1_400)
-ARCHIVE = Size(133_000, 700)
-PAUSE_S = 0.25
-"""A longer pause between the events of a short answer is noticed."""
-ONE_SHORT = (GapGroup(PAUSE_S, QUICK.weight),)
-SIX_SHORT = (GapGroup(PAUSE_S, 6 * QUICK.weight),)
+SHORT = Size(5_000, 1_400)
+LONG = Size(133_000, 700)
+MAX_GAP_S = 0.25
+"""Longest gap between the events of a short answer that its caller tolerates."""
+ONE_SHORT_REQUEST = (GapGroup(MAX_GAP_S, SHORT.weight),)
+SIX_SHORT_REQUESTS = (GapGroup(MAX_GAP_S, 6 * SHORT.weight),)
 
 
-def make_replicas(count=16, **by_rank):
-    """Return idle replicas; ``w3={...}`` changes the one of rank 3."""
+def make_replicas(count=16, **overrides):
+    """Return idle replicas; ``w3={...}`` sets fields of the replica of rank 3."""
     return [
         dataclasses.replace(
             Candidate(f"r{rank}", f"10.0.0.{rank}:80", rank, 8),
-            **by_rank.get(f"w{rank}", {}),
+            **overrides.get(f"w{rank}", {}),
         )
         for rank in range(count)
     ]
@@ -60,58 +60,64 @@
 
 
 def test_short_prompts_are_packed_onto_few_replicas():
-    """Spread evenly, short prompts stand wherever a huge one is to be read.
+    """Short prompts that are spread evenly decode on every replica.
 
-    Each huge one would then stretch the pauses of all of them.
+    The prefill of each long prompt would then lengthen the gaps of all of them.
     """
     replicas = make_replicas()
     used = set()
     for _ in range(24):
-        first = choose(QUICK, replicas).first
+        first = choose(SHORT, replicas).first
         used.add(first.id)
         replicas[first.rank] = dataclasses.replace(first, writers=first.writers + 1)
     assert len(used) == 4
 
 
 def test_nodes_that_choose_at_one_moment_do_not_all_fill_the_same_replica():
-    """Ninety short prompts a second at many nodes that hear of one another 45 ms late.
+    """Nodes that all choose the first replica with a free slot overload it.
 
-    All took the first replica with a free slot, so four prompts stood behind it for
-    the length of an answer, 1.5 s, while replicas beside it were idle.
+    Ninety short prompts per second arrive at nodes that learn of one another's requests
+    with a delay of 45 ms. Four prompts then waited at one replica for the length of an
+    answer, 1.5 s, while other replicas were idle.
     """
-    luck = random.Random(1)
-    busy = {f"w{rank}": {"writers": 6, "writing": SIX_SHORT} for rank in range(16)}
+    rng = random.Random(1)
+    busy = {
+        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(16)
+    }
     replicas = make_replicas(32, **busy)
     unknown = count_unknown(90.0, 0.045, 9)
-    overfilled = 0
+    overloaded = 0
     for _ in range(200):
         taken = [
             choose_prompt(
                 ENGINE,
-                QUICK,
+                SHORT,
                 replicas,
                 target_s=0.3,
                 unknown=unknown,
-                draw=luck.random(),
+                draw=rng.random(),
             ).first
             for _ in range(4)
         ]
         most = max(taken.count(one) + one.writers for one in taken)
-        overfilled += most > ENGINE.slots
-    alone = [choose(QUICK, replicas).first for _ in range(4)]
+        overloaded += most > ENGINE.slots
+    alone = [choose(SHORT, replicas).first for _ in range(4)]
     assert 4 < unknown < 5
-    assert overfilled < 200 / 5
+    assert overloaded < 200 / 5
     assert alone == [alone[0]] * 4
 
 
 def test_packing_goes_on_while_what_is_spread_stays_among_few():
-    """Spread over all, short prompts would stand wherever a huge one is to be read."""
-    luck = random.Random(2)
+    """Random choice must not spread short prompts over all replicas.
+
+    The prefill of a long prompt would then delay them on whichever replica it runs.
+    """
+    rng = random.Random(2)
     replicas = make_replicas(32)
     used = set()
     for _ in range(24):
         first = choose_prompt(
-            ENGINE, QUICK, replicas, target_s=0.3, unknown=4.0, draw=luck.random()
+            ENGINE, SHORT, replicas, target_s=0.3, unknown=4.0, draw=rng.random()
         ).first
         used.add(first.id)
         replicas[first.rank] = dataclasses.replace(first, writers=first.writers + 1)
@@ -119,22 +125,26 @@
 
 
 def test_a_prompt_is_refused_only_where_it_would_stand_behind_many():
-    """Its caller waits 2 s for the first event; a short answer takes 1.5 s.
+    """A prompt is refused if its caller would disconnect before the first event.
 
-    With a slot free, or one answer ahead, it is worth waiting; with two replicas' worth
-    of answers ahead its caller would leave before its first event.
+    The caller waits 2 s for the first event, and a short answer takes 1.5 s. With a
+    free slot or one answer ahead the prompt is placed. With two replicas' worth of
+    answers ahead, its caller would disconnect first.
     """
     for writers, is_refused in ((7, False), (9, False), (24, True)):
         full = {f"w{rank}": {"writers": writers} for rank in range(4)}
-        placement = choose(QUICK, make_replicas(4, **full))
+        placement = choose(SHORT, make_replicas(4, **full))
         assert placement.waits_too_long(2.0) == is_refused
     reading = {f"w{rank}": {"backlog_s": 3.0} for rank in range(4)}
-    assert choose(ARCHIVE, make_replicas(4, **reading)).waits_too_long(4.0)
-    assert not choose(ARCHIVE, make_replicas(4, **reading)).waits_too_long(10.0)
+    assert choose(LONG, make_replicas(4, **reading)).waits_too_long(4.0)
+    assert not choose(LONG, make_replicas(4, **reading)).waits_too_long(10.0)
 
 
 def test_a_huge_prompt_that_takes_long_itself_is_not_refused_for_that():
-    """One replica is left, and reads 230,000 tokens in 4.8 s."""
+    """Only the wait counts, not the prefill itself.
+
+    One replica is available, and it prefills 230,000 tokens in 4.8 s.
+    """
     placement = choose(Size(230_000, 100), make_replicas(1))
     assert placement.expected_s > 4.0
     assert not placement.waits_too_long(4.0)
@@ -142,74 +152,87 @@
 
 def test_a_short_prompt_avoids_a_replica_that_reads_a_huge_one():
     replicas = make_replicas(w0={"backlog_s": 0.4})
-    assert choose(QUICK, replicas).first.rank == 1
+    assert choose(SHORT, replicas).first.rank == 1
 
 
 def test_a_huge_prompt_leaves_short_answers_alone_while_it_can():
-    """Half of the replicas write short answers, the others are idle.
+    """A long prompt doesn't use busy replicas if idle ones meet its target.
 
-    Read on all, the huge prompt would be some 100 ms sooner, of the 2.5 s that its
-    caller waits gladly, and stretch every short answer's pause.
+    Half of the replicas generate short answers, the others are idle. If all replicas
+    prefilled the long prompt, its first event would come about 100 ms sooner, with a
+    target of 2.5 s, and the gaps of every short answer would lengthen.
     """
-    busy = {f"w{rank}": {"writers": 6, "writing": SIX_SHORT} for rank in range(8)}
-    placement = choose(ARCHIVE, make_replicas(**busy))
+    busy = {
+        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(8)
+    }
+    placement = choose(LONG, make_replicas(**busy))
     parts = (placement.first, *placement.helpers)
     assert all(not part.writing for part in parts)
     assert len(parts) == 8
 
 
 def test_a_huge_prompt_disturbs_no_more_than_it_needs_to_be_in_time():
-    """Only one replica is idle; alone it would take 1.9 s, of a target of 2.5 s.
+    """A long prompt uses only as many busy replicas as its target needs.
 
-    With one more it is soon enough; read at all sixteen it would stretch the pauses of
-    ninety short answers, whose callers notice the least delay, for nothing.
+    Only one replica is idle, and its prefill alone would take 1.9 s of a target of
+    2.5 s. With one more replica the first event comes early enough. All sixteen would
+    needlessly lengthen the gaps of ninety short answers, whose callers tolerate little.
     """
-    hurried = (GapGroup(0.12, 6 * QUICK.weight),)
-    busy = {f"w{rank}": {"writers": 6, "writing": hurried} for rank in range(14)}
-    busy["w14"] = {"writers": 1, "writing": (GapGroup(0.12, QUICK.weight),)}
-    placement = choose(ARCHIVE, make_replicas(**busy))
+    low_tolerance = (GapGroup(0.12, 6 * SHORT.weight),)
+    busy = {f"w{rank}": {"writers": 6, "writing": low_tolerance} for rank in range(14)}
+    busy["w14"] = {"writers": 1, "writing": (GapGroup(0.12, SHORT.weight),)}
+    placement = choose(LONG, make_replicas(**busy))
     assert placement.first.rank == 15
     assert [one.rank for one in placement.helpers] == [14]
     assert placement.expected_s < 0.6 * 2.5
 
 
 def test_parts_that_nobody_notices_are_read_beside_short_answers():
-    """The same, but callers bear pauses of 250 ms, and a part takes 150 ms."""
-    busy = {f"w{rank}": {"writers": 6, "writing": SIX_SHORT} for rank in range(15)}
-    placement = choose(ARCHIVE, make_replicas(**busy))
+    """Parts are prefilled on busy replicas if their callers don't notice.
+
+    A part takes 150 ms, and the callers tolerate gaps of 250 ms.
+    """
+    busy = {
+        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(15)
+    }
+    placement = choose(LONG, make_replicas(**busy))
     assert placement.harm == 0.0
-    assert pass_s(ENGINE, 6) + placement.part_read_s < PAUSE_S
+    assert pass_s(ENGINE, 6) + placement.part_read_s < MAX_GAP_S
     assert placement.expected_s < 0.2 * 2.5
 
 
 def test_a_huge_prompt_is_read_everywhere_when_it_would_be_late_otherwise():
-    """Wanted within half a second, it takes 4.8 s at one replica; all are idle."""
+    """The target is 0.5 s, one replica needs 4.8 s, and all replicas are idle."""
     placement = choose(Size(230_000, 100), make_replicas(), target_s=0.5)
     assert len(placement.helpers) + len(placement.holders) >= 12
     assert placement.expected_s < 0.5
 
 
 def test_a_huge_prompt_does_not_stop_a_fleet_to_be_in_time_itself():
-    """It is wanted within half a second, and all replicas write short answers.
+    """A long prompt is placed late rather than delay requests of a larger weight.
 
-    Read everywhere it would be in time, and ninety short answers would stand still for
-    a third of a second. It counts as sixteen short requests, so it is read at few
-    replicas, and late.
+    Its target is 0.5 s, and all replicas generate short answers. If all of them
+    prefilled it, it would meet its target, but ninety short answers would pause for a
+    third of a second. Its weight is that of sixteen short requests, so few replicas
+    prefill it, and it is late.
     """
-    busy = {f"w{rank}": {"writers": 6, "writing": SIX_SHORT} for rank in range(16)}
+    busy = {
+        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(16)
+    }
     size = Size(230_000, 100)
     placement = choose(size, make_replicas(**busy), target_s=0.5)
     assert 1 + len(placement.helpers) + len(placement.holders) <= 3
-    assert placement.harm < 3 * 6 * QUICK.weight
+    assert placement.harm < 3 * 6 * SHORT.weight
 
 
 def test_a_prompt_that_stops_more_than_it_is_worth_says_so():
-    """All of nine replicas are full of short answers, and 580,000 tokens arrive.
+    """The harm of a placement shows that it delays more than the request is worth.
 
-    Read anywhere, it makes more requests late than it counts for itself; who places it
-    can see that, wait until answers have ended, or refuse it.
+    A prompt of 580,000 tokens arrives while all nine replicas are full of short
+    answers. Wherever it is placed, it makes requests late that weigh more than itself.
+    The caller of the function can then wait until answers have ended, or refuse it.
     """
-    full = {"writers": 7, "writing": (GapGroup(0.2, 7 * QUICK.weight),)}
+    full = {"writers": 7, "writing": (GapGroup(0.2, 7 * SHORT.weight),)}
     replicas = make_replicas(9, **{f"w{rank}": full for rank in range(9)})
     size = Size(580_000, 700)
     arrivals = Arrivals(per_s=39.0, target_s=0.3)
@@ -220,9 +243,11 @@
 
 
 def test_replicas_are_left_free_for_the_short_prompts_that_come_meanwhile():
-    """700,000 tokens take 1.8 s of a whole fleet, and ten short prompts come a second.
+    """A very long prompt doesn't occupy all replicas while short prompts arrive.
 
-    Read at all sixteen replicas, the short ones would all stand behind it.
+    700,000 tokens take 1.8 s of the whole fleet, and ten short prompts arrive per
+    second. If all sixteen replicas prefilled the long prompt, the short ones would all
+    wait for it.
     """
     size = Size(580_000, 700)
     arrivals = Arrivals(per_s=10.0, target_s=0.3)
@@ -235,24 +260,27 @@
 
 
 def test_a_part_does_not_overtake_a_prompt_that_has_no_time_left():
-    """A replica reads parts of others' prompts ahead of what waits there.
+    """A waiting prompt that is almost late isn't delayed by parts of other prompts.
 
-    Its own prompt, whose other parts were read long ago, was overtaken by each later
-    one, and came after seven seconds instead of two.
+    A replica prefills parts of other replicas' prompts before the prompts that wait
+    there. A prompt whose other parts were done long ago was delayed by each later part,
+    and its first event came after seven seconds instead of two.
     """
     waiting = {"backlog_s": 0.02, "unread": (UnreadPrompt(0.1, 40.0),)}
     replicas = make_replicas(8, w0=waiting, w1=waiting)
-    placement = choose(ARCHIVE, replicas)
+    placement = choose(LONG, replicas)
     readers = {placement.first.rank, *(one.rank for one in placement.helpers)}
     assert len(readers) >= 4
     assert readers.isdisjoint({0, 1})
 
 
 def test_parts_of_a_prompt_do_not_stretch_a_pause_too_far():
-    """One part of an ordinary archive search beside short answers, read everywhere."""
-    busy = {f"w{rank}": {"writers": 6, "writing": SIX_SHORT} for rank in range(16)}
-    placement = choose(ARCHIVE, make_replicas(**busy), target_s=0.3)
-    assert pass_s(ENGINE, 6, 40_000) + placement.part_read_s < PAUSE_S
+    """With all replicas busy, a part of a long prompt must fit the tolerated gap."""
+    busy = {
+        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(16)
+    }
+    placement = choose(LONG, make_replicas(**busy), target_s=0.3)
+    assert pass_s(ENGINE, 6, 40_000) + placement.part_read_s < MAX_GAP_S
 
 
 def test_reading_grows_with_the_square_of_the_length():
@@ -262,34 +290,36 @@
 
 @pytest.mark.parametrize("tokens", [1_000, 50_000, 600_000])
 def test_no_prompt_finds_a_place_where_no_replica_takes_work(tokens):
-    """All are at their cold limits, or have left."""
+    """There are no candidates if all replicas are at their cold limits or have left."""
     assert choose_prompt(ENGINE, Size(tokens, 300), [], target_s=2.0) is None
 
 
 def test_no_prompt_goes_where_its_memory_is_missing():
-    """Placed all the same, it would be preempted and read again."""
+    """Without enough memory, a prompt would be preempted and prefilled again."""
     replicas = make_replicas(2, w0={"kv_tokens": 200_000}, w1={"kv_tokens": 90_000})
-    assert choose(ARCHIVE, replicas).first.rank == 1
+    assert choose(LONG, replicas).first.rank == 1
     full = [dataclasses.replace(one, kv_tokens=200_000) for one in replicas]
-    assert choose(ARCHIVE, full) is None
+    assert choose(LONG, full) is None
 
 
 def test_a_prompt_above_one_memory_is_shared_and_read_apart_from_short_ones():
-    """600,000 tokens; a replica holds 232,000."""
+    """A prompt of 600,000 tokens is shared by replicas with memory for 232,000 each."""
     size = Size(600_000, 700)
-    busy = {f"w{rank}": {"writers": 6, "writing": SIX_SHORT} for rank in range(4)}
+    busy = {
+        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(4)
+    }
     replicas = make_replicas(**busy)
     placement = spread_prompt(ENGINE, size, replicas, target_s=9.0)
     shares = placement.holders
-    taking_part = (
+    participants = (
         placement.first,
         *(one.replica for one in shares),
         *placement.helpers,
     )
     assert sum(share.tokens for share in shares) >= size.tokens - 0.5 * 232_000
     assert max(share.tokens for share in shares) <= 0.6 * 232_000
-    assert all(not one.writing for one in taking_part)
-    assert len({one.id for one in taking_part}) == len(taking_part)
+    assert all(not one.writing for one in participants)
+    assert len({one.id for one in participants}) == len(participants)
 
 
 def test_memory_that_is_not_there_is_not_shared():
@@ -298,11 +328,11 @@
 
 
 def test_a_silent_or_cold_replica_neither_helps_nor_is_packed():
-    """A part at a replica that is dead holds the whole prompt up."""
+    """A part at a failed replica would delay the whole prompt."""
     replicas = make_replicas(4, w0={"is_recovering": True}, w1={"is_cold": True})
-    placement = choose(ARCHIVE, replicas)
+    placement = choose(LONG, replicas)
     assert {one.rank for one in placement.helpers} <= {2, 3}
-    assert choose(QUICK, replicas).first.rank == 2
+    assert choose(SHORT, replicas).first.rank == 2
 
 
 def test_a_plain_request_goes_to_the_freest_and_nearest():
@@ -312,9 +342,10 @@
 
 
 def test_a_short_request_goes_to_one_that_failed_lately_only_if_others_are_full():
-    """Three of five replicas reset connections, and bookings can't be tried again.
+    """A replica that failed recently is used only if all others are full.
 
-    The other two must not be filled beyond their slots by that.
+    Three of five replicas reset connections, and bookings can't be retried. The other
+    two must nevertheless not get more requests than they have slots.
     """
     failing = {"is_recovering": True}
     replicas = make_replicas(5, w0=failing, w1=failing, w2=failing, w3={"writers": 4})
--- a/lycheetide/placement/tests/test_herd.py
+++ b/lycheetide/placement/tests/test_herd.py
@@ -1,8 +1,9 @@
-"""Hundreds of nodes place by news that is late: no replica gets what nobody counts.
+"""Simulations of many nodes that place prompts by delayed information.
 
-The pattern is that of a large fleet on a calm day: 155 short prompts a second come to
-195 nodes at random, each takes 1.7 s to answer, and 195 replicas of five slots stand
-before them. Nodes know of one another's work late. Nothing here needs a network.
+They check that nodes that don't know of one another's latest requests don't overload
+the same replica. The load is that of a large fleet on a quiet day: 155 short prompts
+per second arrive at random at 195 nodes, each takes 1.7 s to answer, and there are 195
+replicas of five slots. No network is used.
 """
 
 import heapq
@@ -23,12 +24,12 @@
 )
 
 SIZE = Size(5_000, 1_500)
-SECONDS = 5.0
+SIMULATED_S = 5.0
 
 
 @dataclass(frozen=True)
 class Fleet:
-    """Who places how much where; times in seconds."""
+    """Parameters of a simulated fleet; times in seconds."""
 
     nodes: int
     replicas: int
@@ -39,63 +40,73 @@
 
 
 LARGE = Fleet(195, 195, 5, 155.0, 1.7, (0.012, 0.018))
-LATE = Fleet(195, 195, 5, 155.0, 1.7, (0.05, 0.5))
+DELAYED = Fleet(195, 195, 5, 155.0, 1.7, (0.05, 0.5))
 SMALL = Fleet(9, 23, 8, 24.4, 1.6, (0.002, 0.004))
 
 
 @dataclass(frozen=True)
-class Placed:
-    """A prompt, from when to when it runs, and when others know both."""
+class PlacedRequest:
+    """A placed prompt: its start and end, and when other nodes learn of them."""
 
     node: int
     replica: str
     begin_s: float
     end_s: float
-    known_s: float
-    known_ended_s: float
+    start_known_s: float
+    end_known_s: float
 
-    def is_seen(self, node, now_s):
-        """Tell whether a node counts it."""
+    def is_known(self, node, now_s):
+        """Return whether a node counts the prompt as running."""
         if node == self.node:
             return now_s < self.end_s
-        return self.known_s <= now_s < self.known_ended_s
+        return self.start_known_s <= now_s < self.end_known_s
 
 
 @dataclass(frozen=True)
-class Herd:
-    """What replicas got: prompts beyond their slots, the most at one, those in use."""
-
-    over: int
+class Overload:
+    """Result of a simulation.
+
+    Parameters
+    ----------
+    overflow : int
+        Prompts that were sent to a replica beyond its slots.
+    most : int
+        Largest number of prompts at one replica.
+    used : float
+        Mean number of replicas in use per second.
+    """
+
+    overflow: int
     most: int
     used: float
 
 
-def find_rate(begins_s, now_s):
-    """Return the rate of starts, over a second or a burst, as a board does."""
+def measure_rate(begins_s, now_s):
+    """Return the rate of starts over a second or a burst, as ``Board`` measures it."""
     board = Board()
     for begin_s in sorted(begins_s):
         board.start(Job(f"{begin_s}", "n", (), begin_s, now_s), now_s=begin_s)
     return board.starts_per_s(now_s=now_s)
 
 
-def play(fleet, *, seed=1, oracle=False):
-    """Place prompts for some seconds; an oracle knows all at once."""
-    luck = random.Random(seed)
+def simulate(fleet, *, seed=1, oracle=False):
+    """Place prompts for ``SIMULATED_S``; an oracle knows of all requests at once."""
+    rng = random.Random(seed)
     ranks = rank_replicas(f"r{number}" for number in range(fleet.replicas))
     told_s = sum(fleet.told_s) / 2
-    placed: list[Placed] = []
+    placed: list[PlacedRequest] = []
     running: Counter[str] = Counter()
     ends: list[tuple[float, str]] = []
     used: dict[int, set] = defaultdict(set)
-    now_s, over, most = 0.0, 0, 0
-    while (now_s := now_s + luck.expovariate(fleet.per_s)) < SECONDS:
-        node = luck.randrange(fleet.nodes)
+    now_s, overflow, most = 0.0, 0, 0
+    while (now_s := now_s + rng.expovariate(fleet.per_s)) < SIMULATED_S:
+        node = rng.randrange(fleet.nodes)
         while ends and ends[0][0] <= now_s:
             running[heapq.heappop(ends)[1]] -= 1
-        placed = [one for one in placed if one.known_ended_s > now_s - 1.0]
-        seen = [one for one in placed if one.is_seen(node, now_s)]
-        known = running if oracle else Counter(one.replica for one in seen)
-        starts_per_s = find_rate([one.begin_s for one in seen], now_s)
+        placed = [one for one in placed if one.end_known_s > now_s - 1.0]
+        visible = [one for one in placed if one.is_known(node, now_s)]
+        known = running if oracle else Counter(one.replica for one in visible)
+        starts_per_s = measure_rate([one.begin_s for one in visible], now_s)
         candidates = [
             Candidate(name, name, rank, fleet.slots, writers=known[name])
             for name, rank in ranks.items()
@@ -103,40 +114,51 @@
         unknown = 0.0 if oracle else count_unknown(starts_per_s, told_s, fleet.nodes)
         replica = choose_prompt(
             DENSE_ENGINE, SIZE, candidates, target_s=0.4, unknown=unknown,
-            draw=luck.random(),
+            draw=rng.random(),
         ).first.id  # fmt: skip
         running[replica] += 1
-        over += running[replica] > fleet.slots
+        overflow += running[replica] > fleet.slots
         most = max(most, running[replica])
         used[int(now_s)].add(replica)
-        end_s = now_s + fleet.lasts_s * luck.uniform(0.5, 1.5)
+        end_s = now_s + fleet.lasts_s * rng.uniform(0.5, 1.5)
         heapq.heappush(ends, (end_s, replica))
-        late_s = (luck.uniform(*fleet.told_s) for _ in range(2))
+        delays_s = (rng.uniform(*fleet.told_s) for _ in range(2))
         placed.append(
-            Placed(
-                node, replica, now_s, end_s, now_s + next(late_s), end_s + next(late_s)
+            PlacedRequest(
+                node,
+                replica,
+                now_s,
+                end_s,
+                now_s + next(delays_s),
+                end_s + next(delays_s),
             )
         )
-    return Herd(over, most, sum(map(len, used.values())) / len(used))
+    return Overload(overflow, most, sum(map(len, used.values())) / len(used))
 
 
 def test_no_replica_of_a_large_fleet_gets_more_than_its_slots():
-    """Most nodes chose the same few replicas: 34 of 182 prompts of a second one."""
-    herds = [play(LARGE, seed=seed) for seed in range(3)]
-    assert sum(herd.over for herd in herds) <= 15
-    assert max(herd.most for herd in herds) <= LARGE.slots + 1
+    """Most nodes chose the same few replicas.
+
+    Of 182 prompts within one second, 34 went to the same replica.
+    """
+    results = [simulate(LARGE, seed=seed) for seed in range(3)]
+    assert sum(result.overflow for result in results) <= 15
+    assert max(result.most for result in results) <= LARGE.slots + 1
 
 
-def test_late_news_overfills_few():
-    """News is up to half a second old, and nodes fill what was free that long ago."""
-    herds = [play(LATE, seed=seed) for seed in range(3)]
-    prompts = 3 * SECONDS * LATE.per_s
-    assert sum(herd.over for herd in herds) < 0.06 * prompts
-    assert max(herd.most for herd in herds) <= 3 * LATE.slots
+def test_delayed_information_overloads_few_replicas():
+    """Information is up to half a second old, so slots may be taken meanwhile."""
+    results = [simulate(DELAYED, seed=seed) for seed in range(3)]
+    prompts = 3 * SIMULATED_S * DELAYED.per_s
+    assert sum(result.overflow for result in results) < 0.06 * prompts
+    assert max(result.most for result in results) <= 3 * DELAYED.slots
 
 
 @pytest.mark.parametrize(("fleet", "most"), [(LARGE, 1.7), (SMALL, 1.3)])
 def test_prompts_stay_packed(fleet, most):
-    """Spread over all, short prompts stand wherever a long one is to be read."""
-    used = play(fleet).used
-    assert used <= most * play(fleet, oracle=True).used
+    """Short prompts must stay on few replicas.
+
+    Spread over all, they would be delayed by the prefill of every long prompt.
+    """
+    used = simulate(fleet).used
+    assert used <= most * simulate(fleet, oracle=True).used
--- a/lycheetide/placement/tests/test_limits.py
+++ b/lycheetide/placement/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that all nodes keep together, without a call between them."""
+"""Tests of limits that all nodes keep together without calls between them."""
 
 import pytest
 
@@ -8,9 +8,9 @@
 @pytest.mark.parametrize("nodes", [1, 3, 7, 9, 60, 91, 300])
 @pytest.mark.parametrize("limit", [5.0, 26.0, 36.0])
 def test_all_nodes_together_stay_under_a_cold_limit(nodes, limit):
-    """A replica has just started, and every node sends as much as it may.
+    """A cold replica gets as many requests as every node may send.
 
-    Nine nodes that each think their little is nothing make it fall over.
+    Without shares, nine nodes that each send a small rate overload it.
     """
     names = [f"node-{number}" for number in range(nodes)]
     shares = [share_cold_limits(name, names)(limit, "r") for name in names]
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("known", [4, 6])
 def test_nodes_that_know_fewer_peers_still_stay_under_it(known):
-    """Seven nodes are cut into parts of four and three."""
+    """A network partition splits seven nodes into groups of four and three."""
     names = [f"node-{number}" for number in range(7)]
     near, far = names[:known], names[known:]
     total = sum(share_cold_limits(name, near)(26.0, "r") for name in near)
@@ -28,9 +28,9 @@
 
 
 def test_a_node_that_some_do_not_know_changes_little():
-    """Two hundred nodes know all but one of the same peers, a different one each.
+    """Two hundred nodes each don't know one peer, a different one each.
 
-    Each replica's senders must stay nearly the same, or too many send to it.
+    The set of nodes that send to a replica must stay nearly the same, or too many send.
     """
     names = [f"node-{number}" for number in range(200)]
     for replica in (f"r-{number}" for number in range(20)):
@@ -42,7 +42,7 @@
 
 
 def test_every_node_may_send_to_some_cold_replicas():
-    """Most replicas are cold, and a node that may send to none refuses its callers."""
+    """With most replicas cold, a node that may send to none refuses its callers."""
     names = [f"node-{number}" for number in range(195)]
     replicas = [f"r-{number}" for number in range(195)]
     for name in names:
@@ -62,10 +62,11 @@
 
 
 def test_a_warm_replica_is_open_to_all_nodes_of_a_large_fleet():
-    """Sixty nodes share 36 a second: most have no whole request of it.
+    """The shares of a cold limit don't apply to warm replicas.
 
-    Were warm replicas closed to them too, a huge prompt would find a dozen of 78
-    replicas to be read at, and stretch every pause there by more than a second.
+    Sixty nodes share 36 requests per second, so most nodes' share is less than one
+    request. If that closed warm replicas to them too, a long prompt would find only a
+    dozen of 78 replicas for its prefill, and lengthen every gap there by over a second.
     """
     warm = {"allowance": 0, "own_starts": 0, "is_cold": False}
     assert may_send(36.0, all_starts=10, **warm)
@@ -74,10 +75,11 @@
 
 
 def test_a_node_with_most_of_the_callers_uses_what_others_leave():
-    """A balancer's hash gives one of four nodes most callers, of a small service.
+    """A node with most of the callers may use the rest of a warm replica's limit.
 
-    It refused them after four requests a second to each replica, though the replicas
-    were warm and bore five times that.
+    A load balancer's hash sends most callers of a small service to one of four nodes.
+    It refused them after four requests per second to each replica, although the
+    replicas were warm and could process five times that.
     """
     warm = {"allowance": 4, "own_starts": 9, "is_cold": False}
     assert not may_send(36.0, all_starts=9, **warm)
@@ -89,9 +91,9 @@
 
 @pytest.mark.parametrize("nodes", [1, 9, 60])
 def test_all_nodes_together_keep_the_retry_budget(nodes):
-    """A service fails every request; each is tried again if the budget has room.
+    """A service fails every request, and each is retried if the budget allows it.
 
-    Unbounded retries keep a failing service down.
+    Unlimited retries would keep a failing service overloaded.
     """
     windows = [RetryWindow(ratio=0.2, extra=100, window_s=10.0) for _ in range(nodes)]
     requests = retries = 0
