--- a/lycheetide/limits/__init__.py
+++ b/lycheetide/limits/__init__.py
@@ -1,5 +1,5 @@
-"""Limits that belong to one customer alone."""
+"""Limits that apply to each customer separately."""
 
-from lycheetide.limits._budget import Bucket, CustomerBudgets, fill, spend
+from lycheetide.limits._budget import Bucket, CustomerBudgets, refill, spend
 
-__all__ = ["Bucket", "CustomerBudgets", "fill", "spend"]
+__all__ = ["Bucket", "CustomerBudgets", "refill", "spend"]
--- a/lycheetide/limits/_budget.py
+++ b/lycheetide/limits/_budget.py
@@ -1,54 +1,81 @@
-"""Retry budgets: each customer pays for its own retries and for nobody else's."""
+"""Retry budgets per customer.
+
+A customer's retries are taken from its own budget only, so they can't use up the
+retries of other customers.
+"""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Bucket:
-    """A token bucket.
+    """The state of a token bucket at one time.
 
     Parameters
     ----------
     level : float
-        What is left.
+        Number of tokens in the bucket.
     at_s : float
-        When that was so.
+        Time of this state, in seconds.
     """
 
     level: float
     at_s: float
 
 
-def fill(bucket, *, rate_per_s, burst, now_s):
-    """Return the bucket as it is at ``now_s``.
+def refill(bucket, *, rate_per_s, burst, now_s):
+    """Return the bucket with the tokens that were added until ``now_s``.
+
+    Parameters
+    ----------
+    bucket : Bucket
+        Earlier state of the bucket.
+    rate_per_s : float
+        Tokens added per second.
+    burst : float
+        Capacity of the bucket, in tokens.
+    now_s : float
+        Current time, in seconds.
+
+    Returns
+    -------
+    Bucket
 
     Examples
     --------
-    >>> fill(Bucket(0.0, 10.0), rate_per_s=2.0, burst=5.0, now_s=11.0)
+    >>> refill(Bucket(0.0, 10.0), rate_per_s=2.0, burst=5.0, now_s=11.0)
     Bucket(level=2.0, at_s=11.0)
     """
-    passed_s = max(0.0, now_s - bucket.at_s)
-    return Bucket(min(burst, bucket.level + rate_per_s * passed_s), now_s)
+    elapsed_s = max(0.0, now_s - bucket.at_s)
+    return Bucket(min(burst, bucket.level + rate_per_s * elapsed_s), now_s)
 
 
 def spend(bucket, *, rate_per_s, burst, now_s):
-    """Take one from the bucket.
+    """Take one token from the bucket; parameters as in ``refill``.
 
     Returns
     -------
     bucket : Bucket
-        What is left.
+        State of the bucket afterwards.
     allowed : bool
-        Whether there was one to take.
+        Whether there was a token to take.
     """
-    filled = fill(bucket, rate_per_s=rate_per_s, burst=burst, now_s=now_s)
-    if filled.level < 1:
-        return filled, False
-    return Bucket(filled.level - 1, now_s), True
+    refilled = refill(bucket, rate_per_s=rate_per_s, burst=burst, now_s=now_s)
+    if refilled.level < 1:
+        return refilled, False
+    return Bucket(refilled.level - 1, now_s), True
 
 
 class CustomerBudgets:
-    """The retry budgets and accounts of all customers at one node."""
+    """Retry budgets of all customers at one node.
+
+    Attributes
+    ----------
+    retries : dict of str to int
+        Number of retries that were allowed, by customer name.
+    denied : dict of str to int
+        Number of retries that were denied, by customer name.
+    """
 
     def __init__(self):
         self._buckets = {}
@@ -56,33 +83,41 @@
         self.denied = {}
 
     def has_retry(self, customer, *, now_s):
-        """Tell whether a retry could be taken now; none is."""
+        """Return whether the customer's budget allows a retry, without using one.
+
+        Parameters
+        ----------
+        customer : Customer
+            Customer whose budget is checked.
+        now_s : float
+            Current time, in seconds.
+        """
         _, allowed = self._spend(customer, now_s)
         return allowed
 
     def spend_retry(self, customer, *, now_s):
-        """Take one retry from the customer's own budget.
+        """Take one retry from the customer's budget.
 
         Parameters
         ----------
         customer : Customer
-            Whose request is to be tried again.
+            Customer whose request is to be retried.
         now_s : float
-            The present time.
+            Current time, in seconds.
 
         Returns
         -------
         bool
-            False if the budget is spent; the request then ends with its error.
+            False if the budget is used up; the request then ends with its error.
         """
         bucket, allowed = self._spend(customer, now_s)
         self._buckets[customer.name] = bucket
-        account = self.retries if allowed else self.denied
-        account[customer.name] = account.get(customer.name, 0) + 1
+        counts = self.retries if allowed else self.denied
+        counts[customer.name] = counts.get(customer.name, 0) + 1
         return allowed
 
     def _spend(self, customer, now_s):
-        """Return the customer's bucket less one retry, and whether there was one."""
+        """Return the customer's bucket after one retry, and whether it is allowed."""
         start = Bucket(customer.retry_burst, now_s)
         return spend(
             self._buckets.get(customer.name, start),
--- a/lycheetide/limits/tests/test_budget.py
+++ b/lycheetide/limits/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Budgets are each customer's own."""
+"""Tests of the retry budgets per customer."""
 
 from lycheetide.fleet import Customer
 from lycheetide.limits import CustomerBudgets
@@ -8,7 +8,7 @@
 
 
 def test_one_customers_retries_leave_anothers_alone():
-    """One house's requests fail all the time; the other's fails once."""
+    """One customer's requests fail repeatedly, another's request fails once."""
     budgets = CustomerBudgets()
     allowed = [budgets.spend_retry(KESTREL, now_s=0.0) for _ in range(10)]
     assert allowed == [True] * 3 + [False] * 7
@@ -19,7 +19,10 @@
 
 
 def test_a_look_at_the_budget_takes_nothing():
-    """A request that only waits for a successor would use up its house's retries."""
+    """Checking the budget must not use it.
+
+    A request that only waits for another replica would use up its customer's retries.
+    """
     budgets = CustomerBudgets()
     assert all(budgets.has_retry(KESTREL, now_s=0.0) for _ in range(10))
     assert [budgets.spend_retry(KESTREL, now_s=0.0) for _ in range(4)] == [
