--- a/lycheetide/routing/__init__.py
+++ b/lycheetide/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions at the entry node: what is let in, where it goes, what is tried again."""
+"""Decisions of the entry node: admission, choice of a cell, dispatch and retries."""
 
 from lycheetide.routing._admission import (
     Admitted,
--- a/lycheetide/routing/_admission.py
+++ b/lycheetide/routing/_admission.py
@@ -1,4 +1,4 @@
-"""What a request needs before it costs anything."""
+"""Checks that a request has to pass before any further work is done for it."""
 
 import hashlib
 import hmac
@@ -7,24 +7,24 @@
 
 from lycheetide.outcomes import NotRun, Reason
 
-BEARER = "bearer "
-LONGEST_DEADLINE_S = 3600.0
+BEARER_PREFIX = "bearer "
+MAX_DEADLINE_S = 3600.0
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """A request that may go on.
+    """A request that passed the admission checks.
 
     Parameters
     ----------
     request_id : str
-        Drawn by the entry node.
+        Random id that the entry node has given the request.
     customer : Customer
-        Whose it is.
+        Customer that sent the request.
     request_class : RequestClass
-        How it is treated.
+        Class of the request, with its priority and deadline.
     arrived_s, deadline_s : float
-        On this node's clock.
+        Time of arrival and deadline on this node's clock, in seconds.
     """
 
     request_id: str
@@ -35,22 +35,26 @@
 
 
 def authenticate(authorization, customers):
-    """Return the customer whose token a request carries.
+    """Return the customer that a request's bearer token belongs to.
 
     Parameters
     ----------
     authorization : str
-        The header; empty if there is none.
+        Value of the ``Authorization`` header; empty if the request has none.
     customers : iterable of Customer
         All customers.
 
+    Returns
+    -------
+    Customer
+
     Raises
     ------
     NotRun
-        If no customer has this token.
+        If the token is missing or belongs to no customer.
     """
-    if authorization.lower().startswith(BEARER):
-        token = authorization[len(BEARER) :].strip()
+    if authorization.lower().startswith(BEARER_PREFIX):
+        token = authorization[len(BEARER_PREFIX) :].strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
         for customer in customers:
             if hmac.compare_digest(customer.token_sha256, digest):
@@ -61,12 +65,24 @@
 
 
 def find_class(name, classes):
-    """Return the class that a request names, or the last one where it names none.
+    """Return the request class of a given name.
+
+    Parameters
+    ----------
+    name : str
+        Name of the class. If it is empty, the class of the lowest priority, which has
+        the largest number, is returned.
+    classes : dict of str to RequestClass
+        All classes by name.
+
+    Returns
+    -------
+    RequestClass
 
     Raises
     ------
     NotRun
-        If there is no such class.
+        If there is no class of this name.
     """
     if not name and classes:
         return max(classes.values(), key=lambda c: (c.priority, c.name))
@@ -80,26 +96,28 @@
 
 
 def find_deadline(header, request_class, *, now_s):
-    """Return the instant at which a request is given up on.
+    """Return the deadline of a request.
 
     Parameters
     ----------
     header : str
-        The time left in milliseconds, as the caller sent it; empty for the class's.
+        Value of the ``X-Deadline-Ms`` header, the remaining time in milliseconds. If it
+        is empty, the deadline of the request class is used.
     request_class : RequestClass
-        The request's class.
+        Class of the request.
     now_s : float
-        The present time.
+        Current time, in seconds.
 
     Returns
     -------
     float
-        On this node's clock.
+        Deadline on this node's clock, in seconds. It is at most ``MAX_DEADLINE_S``
+        after ``now_s`` if the header sets it.
 
     Raises
     ------
     NotRun
-        If it is malformed or past.
+        If the header is malformed or the deadline has passed.
     """
     if not header:
         return now_s + request_class.deadline_s
@@ -113,16 +131,23 @@
         ) from None
     if left_s <= 0:
         raise NotRun(Reason.DEADLINE_PAST, "no time was left on arrival", status=504)
-    return now_s + min(left_s, LONGEST_DEADLINE_S)
+    return now_s + min(left_s, MAX_DEADLINE_S)
 
 
 def check_body_size(size_bytes, largest_bytes):
-    """Refuse a body that is too large.
+    """Raise an error if a request body is too large.
+
+    Parameters
+    ----------
+    size_bytes : int
+        Size of the body.
+    largest_bytes : int
+        Maximum size of a body.
 
     Raises
     ------
     NotRun
-        With what came and what is allowed.
+        If the body is too large. The message names its size and the maximum.
     """
     if size_bytes > largest_bytes:
         raise NotRun(
--- a/lycheetide/routing/_dispatch.py
+++ b/lycheetide/routing/_dispatch.py
@@ -1,9 +1,9 @@
-"""The last look before a request is sent to an upstream.
+"""Final check immediately before a request is sent to an upstream.
 
-Between the choice of a replica and the sending, a node may have been frozen, or cut
-off, and its configuration grown old. If it then sent, a failure domain that operators
-have taken out, or an upstream that leaves, would get new work long after it should
-not. So the choice is checked again at the very moment of sending.
+After a replica has been chosen, the node may be paused or cut off from the network, so
+that its configuration becomes out of date. A failure domain that operators have taken
+out, or an upstream that is leaving, would then still be sent new requests. The choice
+is therefore checked again at the time of sending.
 """
 
 from lycheetide.fleet import takes_new_work
@@ -11,51 +11,56 @@
 
 
 def is_fresh(*, log_asked_s, majority_heard, now_s, within_s):
-    """Tell whether a node can know the configuration that is in force.
+    """Return whether a node can know the configuration that is in force.
 
     Parameters
     ----------
     log_asked_s : float
-        When the last read of the log that was answered had been sent.
+        Time at which the latest answered read of the log was sent, in seconds.
     majority_heard : bool
-        Whether most members of the view were heard lately.
-    now_s, within_s : float
-        The present time, and how old knowledge may be.
+        Whether the node recently heard from a majority of the view's members.
+    now_s : float
+        Current time, in seconds.
+    within_s : float
+        Maximum age of the latest answered read, in seconds.
 
     Returns
     -------
     bool
-        An outage of the log alone leaves it true, since during one nobody can
-        publish, and what was published before is heard from the others.
+        An outage of the log alone doesn't make it False: nothing can be published
+        during the outage, and earlier changes are learned from the other members.
     """
     return majority_heard or now_s - log_asked_s <= within_s
 
 
 def check_dispatch(fleet, replicas, *, fresh, permit_asked_s, now_s, permit_use_s):
-    """Refuse to send if the ground for it may be gone.
+    """Return whether a request may be sent with its permit.
 
     Parameters
     ----------
     fleet : Fleet
-        The configuration in force.
+        Configuration in force.
     replicas : iterable of str
-        Where the request would go.
+        Replicas that the request would be sent to.
     fresh : bool
-        As ``is_fresh`` tells.
+        Result of ``is_fresh``.
     permit_asked_s : float
-        When the call that brought the permit was sent.
-    now_s, permit_use_s : float
-        The present time, and how old a permit may be when it is used.
+        Time at which the call that returned the permit was sent, in seconds.
+    now_s : float
+        Current time, in seconds.
+    permit_use_s : float
+        Maximum age of a permit when it is used, in seconds.
 
     Returns
     -------
     bool
-        False if the permit is to be given back and another one asked for.
+        False if the permit is too old, or if one of the replicas no longer takes new
+        requests. The permit has to be returned then, and another one requested.
 
     Raises
     ------
     NotRun
-        If this node can't know the configuration.
+        If this node can't know the configuration in force.
     """
     if not fresh:
         raise NotRun(
--- a/lycheetide/routing/_prompts.py
+++ b/lycheetide/routing/_prompts.py
@@ -1,34 +1,37 @@
-"""Sizes, segments and prefixes of prompts."""
+"""Estimate the size of prompts, split them, and make their prefix cache keys."""
 
 import xxhash
 
-BYTES_PER_TOKEN = 4
+CHARS_PER_TOKEN = 4
 PREFIX_CHARS = 2_000
 
 
 def count_tokens(text):
-    """Estimate the tokens of a text, four characters each.
+    """Return the estimated number of tokens of a text, at four characters per token.
 
     Examples
     --------
     >>> count_tokens("a gate of iron")
     4
     """
-    return max(1, -(-len(text) // BYTES_PER_TOKEN))
+    return max(1, -(-len(text) // CHARS_PER_TOKEN))
 
 
 def make_prefix_key(customer, model, prompt):
-    """Return the key under which the prompt's beginning may be cached.
+    """Return the key under which the prompt's prefix may be cached.
 
-    It names the customer: houses compete, and a prefix cache that they shared would
-    tell one, by a quick first token, that another has sent the same prompt.
+    The key contains the customer, so that customers don't share cached prefixes.
+    Customers may compete with each other, and with a shared cache one could learn from
+    a fast first token that another one has sent the same prompt.
     """
     digest = xxhash.xxh3_64_hexdigest(prompt[:PREFIX_CHARS].encode())
     return f"{customer}/{model}/{digest}"
 
 
 def split_prompt(prompt, parts):
-    """Cut a prompt into parts of equal size, in order.
+    """Split a prompt into consecutive parts of equal size.
+
+    The last parts may be shorter, or empty.
 
     Examples
     --------
--- a/lycheetide/routing/_retry.py
+++ b/lycheetide/routing/_retry.py
@@ -1,41 +1,40 @@
-"""Whether a broken attempt is followed by another; no other layer repeats anything."""
+"""Decide whether a failed attempt is retried. No other layer retries requests."""
 
 from enum import StrEnum
 
-LARGEST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 
 
 class RetryDecision(StrEnum):
-    """What to do after a broken attempt."""
+    """What to do after a failed attempt."""
 
     RETRY = "retry"
     GIVE_UP = "give_up"
 
 
 def decide_retry(*, attempts, started_maybe, repeatable, left_s, spend):
-    """Decide on another attempt.
+    """Decide whether a request is retried after a failed attempt.
 
     Parameters
     ----------
     attempts : int
-        How many there were.
+        Number of attempts so far.
     started_maybe : bool
-        Whether the upstream may have begun.
+        Whether the upstream may have started the request.
     repeatable : bool
-        Whether the work may be done twice.
+        Whether the request may be executed twice.
     left_s : float
-        The time left.
+        Remaining time until the request's deadline, in seconds.
     spend : callable
-        Takes one retry from the customer's budget; returns whether it could. It is
-        called only where all else allows the retry.
+        Takes one retry from the customer's budget and returns whether the budget
+        allowed it. It is called only if all other conditions allow a retry.
 
     Returns
     -------
     RetryDecision
-        What to do.
     """
     if started_maybe and not repeatable:
         return RetryDecision.GIVE_UP
-    if attempts >= LARGEST_ATTEMPTS or left_s <= 0:
+    if attempts >= MAX_ATTEMPTS or left_s <= 0:
         return RetryDecision.GIVE_UP
     return RetryDecision.RETRY if spend() else RetryDecision.GIVE_UP
--- a/lycheetide/routing/tests/test_dispatch.py
+++ b/lycheetide/routing/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The last look before sending, and who is let in."""
+"""Tests of admission, the check before dispatch, retries and the ranking of cells."""
 
 import pytest
 
@@ -35,10 +35,11 @@
 
 
 def test_a_permit_is_used_only_while_its_ground_stands():
-    """A node was frozen between the grant and the sending.
+    """A permit isn't used if its conditions changed while the node was paused.
 
-    Meanwhile the domain went out, the upstream began to leave or went away, or the
-    permit grew old and its slot was given to another.
+    Between the grant of the permit and the sending, the failure domain was taken out,
+    the upstream began to leave or was removed, or the permit became too old and its
+    slot was given to another request.
     """
     assert check(make_fleet())
     assert not check(make_fleet(domain="out"))
@@ -87,7 +88,7 @@
 
 
 def test_a_booking_that_may_have_run_costs_no_budget():
-    """The budget is asked only where all else allows a retry."""
+    """The budget is used only if all other conditions allow a retry."""
 
     def spend():
         raise AssertionError("the budget was touched")
@@ -122,7 +123,7 @@
 
 
 def test_equal_cells_are_not_all_asked_by_everybody():
-    """All nodes see the same old summaries; they must not rush to the same cell."""
+    """Nodes with the same outdated summaries must not all choose the same cell."""
     draws = iter([0.1, 0.9, 0.9, 0.1])
     first = [
         rank_cells(["a", "b"], {}, prefix_key="", prompt_tokens=1, draw=draws.__next__)[
