--- a/lycheetide/placement/_cold.py
+++ b/lycheetide/placement/_cold.py
@@ -3,7 +3,7 @@
 A cold replica fails under full load. Its limit holds for all nodes together: nine nodes
 that each send a small rate send nine times that. Each node may therefore send only its
 share of the limit. If the limit allows fewer whole requests per second than there are
-nodes, only as many nodes as it allows requests may send any.
+nodes, a node may send one request per second or none.
 """
 
 import math
@@ -30,8 +30,8 @@
 
     Nodes and replicas are placed on a hash ring. If a replica's limit is lower than the
     number of nodes, the nodes that follow the replica on the ring may send one request
-    per second each, as many nodes as the limit allows. As with consistent hashing, a
-    node that is known to some nodes only changes the shares by one position.
+    per second each, as many nodes as the limit allows. A node that only some
+    of the others know shifts the senders by one position of the ring.
 
     Parameters
     ----------
