--- a/lycheetide/scheduling/__init__.py
+++ b/lycheetide/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""How the owner of a cell decides which request goes to which replica, and when."""
+"""Scheduling of requests onto the replicas of a cell, as run by the cell's owner."""
 
 from lycheetide.scheduling._cell import Cell
 from lycheetide.scheduling._choose import choose_replicas
@@ -9,8 +9,8 @@
 from lycheetide.scheduling._types import (
     Permit,
     Policy,
-    Replica,
     ReplicaLoad,
+    ReplicaState,
     Report,
     Ticket,
 )
@@ -20,8 +20,8 @@
     "HeldMemory",
     "Permit",
     "Policy",
-    "Replica",
     "ReplicaLoad",
+    "ReplicaState",
     "Report",
     "Ticket",
     "choose_replicas",
--- a/lycheetide/scheduling/_estimate.py
+++ b/lycheetide/scheduling/_estimate.py
@@ -1,4 +1,4 @@
-"""How long a request would wait, so that hopeless ones are refused at once."""
+"""Estimate of waiting times; requests that would miss their deadline are refused."""
 
 
 def estimate_wait(ticket, tickets, loads):
@@ -9,23 +9,25 @@
     ticket : Ticket
         The request.
     tickets : iterable of Ticket
-        Those that wait already.
+        The requests already queued.
     loads : sequence of ReplicaLoad
         The cell's open replicas.
 
     Returns
     -------
     float
-        In seconds; infinite if no replica is open.
+        Time in seconds; infinite if no replica is open.
     """
     rate = sum(load.tokens_per_s for load in loads)
     if rate <= 0:
         return float("inf")
-    ahead = sum(
+    queued_tokens = sum(
         other.prompt_tokens
         for other in tickets
         if other.priority <= ticket.priority and other.ticket_id != ticket.ticket_id
     )
-    fastest = max(load.tokens_per_s for load in loads)
-    soonest_s = min(load.short_s for load in loads)
-    return ahead / rate + soonest_s + ticket.prompt_tokens / fastest
+    highest_rate = max(load.tokens_per_s for load in loads)
+    shortest_backlog_s = min(load.short_backlog_s for load in loads)
+    return (
+        queued_tokens / rate + shortest_backlog_s + ticket.prompt_tokens / highest_rate
+    )
--- a/lycheetide/scheduling/_order.py
+++ b/lycheetide/scheduling/_order.py
@@ -1,13 +1,13 @@
-"""In which order waiting requests are considered."""
+"""The order in which queued requests are considered for a grant."""
 
 
 def order_tickets(tickets, running_tokens, *, now_s):
-    """Return the tickets, the first to be served first.
+    """Sort tickets by the order in which they should be served.
 
     Parameters
     ----------
     tickets : iterable of Ticket
-        Those that wait.
+        The queued requests.
     running_tokens : mapping of str to int
         For each customer, the tokens of its requests in progress.
     now_s : float
@@ -16,14 +16,20 @@
     Returns
     -------
     list of Ticket
-        By priority, each ``aging_s`` of waiting counting as one priority; among
-        equals the customer with the least work in progress for its weight comes
-        first, so that a large customer can't fill the queue; then by arrival.
+        Sorted by priority, where each ``aging_s`` of waiting raises a request by one
+        priority. Among equal priorities, the customer with the least work in progress
+        relative to its weight comes first, so that a large customer can't monopolize
+        the queue; then by arrival.
     """
 
     def rank(ticket):
-        aged = int((now_s - ticket.arrived_s) / ticket.aging_s)
+        priority_steps = int((now_s - ticket.arrived_s) / ticket.aging_s)
         used = running_tokens.get(ticket.customer, 0) / ticket.weight
-        return ticket.priority - aged, used, ticket.arrived_s, ticket.ticket_id
+        return (
+            ticket.priority - priority_steps,
+            used,
+            ticket.arrived_s,
+            ticket.ticket_id,
+        )
 
     return sorted(tickets, key=rank)
--- a/lycheetide/scheduling/tests/test_cell.py
+++ b/lycheetide/scheduling/tests/test_cell.py
@@ -1,4 +1,4 @@
-"""The scheduler's promises: cold limits, no starvation, no blocked halves."""
+"""Guarantees of the scheduler: cold limits, no starvation, no deadlock."""
 
 import hypothesis.strategies as st
 import pytest
@@ -55,10 +55,11 @@
 
 
 class ColdEngine(RuleBasedStateMachine):
-    """One engine that restarts without a word, and two owners one after the other.
+    """One engine that restarts unnoticed, and two successive owners of its cell.
 
-    The later owner is not settled while the earlier one may still act, and learns
-    what was granted only from the earlier one's permits or the engine's report.
+    The later owner is not settled while the earlier one may still grant permits. It
+    learns of earlier grants only from the earlier owner's permits or the engine's load
+    report.
     """
 
     def __init__(self):
@@ -112,7 +113,7 @@
             cell.take_report("e1", report, asked_s=asked_s, now_s=self.now_s)
 
     @rule(times=st.integers(1, 4))
-    def report_promptly(self, times):
+    def report_at_once(self, times):
         for owner in list(range(len(self.owners))) * times:
             self.send_report(owner)
             self.read_report(len(self.reports) - 1)
@@ -120,7 +121,7 @@
     @initialize(is_warm=st.booleans())
     def begin(self, is_warm):
         self.is_cold = not is_warm
-        self.report_promptly(4)
+        self.report_at_once(4)
 
     @rule()
     def warm_up(self):
@@ -128,7 +129,7 @@
 
     @precondition(lambda self: not self.is_cold)
     @rule()
-    def restart_without_a_word(self):
+    def restart_unannounced(self):
         self.boot += 1
         self.is_cold = True
         for permit_id, (cell, _) in self.in_flight.items():
@@ -137,7 +138,7 @@
 
     @precondition(lambda self: len(self.owners) == 1)
     @rule()
-    def add_later_owner(self):
+    def add_next_owner(self):
         later = Cell("c", owner_id="n2")
         later.apply_upstreams([make_upstream()], DOMAINS, now_s=self.now_s)
         self.owners.append(later)
@@ -155,16 +156,16 @@
         self.reports = [row for row in self.reports if row[0] is later]
 
     @invariant()
-    def cold_engine_bears_its_load(self):
+    def cold_engine_is_within_its_limit(self):
         if self.is_cold:
             assert len(self.in_flight) <= COLD_LIMIT, len(self.in_flight)
 
 
 class TestColdEngine(ColdEngine.TestCase):  # type: ignore[misc, valid-type]
-    """An engine restarts on its address, idle or under load, while owners change.
+    """An engine restarts on the same address, idle or under load, while owners change.
 
-    Users would notice an engine that falls over each time it restarts: their streams
-    break, are sent again, and it falls over once more.
+    If a restarted engine got more than its cold limit, it would crash, its streams
+    would break and be retried, and the retries would crash it again.
     """
 
     settings = settings(
@@ -173,9 +174,10 @@
 
 
 def test_a_cell_whose_reports_stop_grants_at_most_the_cold_limit_ahead():
-    """An idle engine restarts and its reports lag.
+    """An idle engine restarts while its load reports lag.
 
-    The owner still thinks it warm; all that it grants meets a cold engine.
+    The owner still takes it for warm, so all requests that it grants arrive at a cold
+    engine.
     """
     cell = make_cell()
     for number in range(20):
@@ -187,10 +189,10 @@
 
 
 def test_a_domain_that_returns_begins_at_the_cold_limit():
-    """A domain is taken out and brought back; its engines' caches are empty.
+    """A failure domain is taken out and brought back; its engines' caches are empty.
 
-    Sent full load at once, they would fall over again, and users would see a second
-    dip as the domain returns.
+    Under full load at once, the engines would crash again, and users would see a second
+    drop in service as the domain returns.
     """
     cell = make_cell(cold_limit_requests=2)
     upstreams = [make_upstream(cold_limit_requests=2)]
@@ -205,8 +207,8 @@
 def test_two_prompts_above_one_engines_memory_never_hold_half_each():
     """Two prompts need three of four engines each, and arrive together.
 
-    If each held two and waited for a third, both would wait until their deadlines, and
-    the memory would serve nobody.
+    If each held two and waited for a third, both would wait until their deadlines while
+    the memory they hold is unused.
     """
     cell = make_cell(4)
     for number in (1, 2):
@@ -220,10 +222,10 @@
 
 
 def test_short_requests_go_on_while_engines_are_kept_for_a_spanning_prompt():
-    """A spanning prompt waits for engines that are busy with long ones.
+    """A prompt split over several engines waits until enough of them are free.
 
-    Keeping the engines for it must not hold up quick quotes, and letting quick quotes
-    through must not hold it up for ever.
+    Draining engines for it must not delay short requests, and short requests must not
+    delay it indefinitely.
     """
     cell = make_cell(4)
     cell.ask(make_ticket(1, 900_000, now_s=1.0), now_s=1.0)
@@ -239,7 +241,7 @@
 
 
 def test_waiting_requests_age_past_higher_classes():
-    """Quick quotes arrive without end; an archive search must still finish."""
+    """High-priority requests arrive continuously; a low-priority one must still run."""
     cell = make_cell(warm_limit_requests=1, cold_limit_requests=1)
     cell.ask(make_ticket(0, now_s=1.0, priority=2), now_s=1.0)
     old = make_ticket("old", now_s=1.0, priority=2, aging_s=10.0)
@@ -260,7 +262,7 @@
 
 
 def test_a_large_customer_can_not_fill_the_queue():
-    """One customer sends a hundred requests, then another sends one."""
+    """One customer sends a hundred requests, then another customer sends one."""
     cell = make_cell(warm_limit_requests=4, cold_limit_requests=4)
     for number in range(100):
         cell.ask(make_ticket(number, now_s=1.0, customer="large"), now_s=1.0)
@@ -293,9 +295,10 @@
 
 
 def test_a_permit_whose_entry_node_died_counts_until_the_engine_is_empty():
-    """An entry node is frozen past its renewals while its stream runs on.
+    """An entry node is frozen and misses its renewals while its stream continues.
 
-    If its place were given away at once, the engine would get more than it bears.
+    If its slot were granted to another request at once, the engine would get more
+    requests than it can handle.
     """
     cell = make_cell(warm_limit_requests=3, cold_limit_requests=3)
     for number in range(2):
@@ -305,18 +308,18 @@
     assert (len(cell.permits), len(cell.lost_permits)) == (0, 2)
     report = Report("b1", True, kv_capacity_tokens=CAPACITY)
     cell.take_report("e1", report, asked_s=20.0, now_s=20.0)
-    assert cell.make_loads(now_s=20.0)[0].slots == 1
+    assert cell.compute_loads(now_s=20.0)[0].slots == 1
     cell.end_lost("e1", {"r0"})
-    assert cell.make_loads(now_s=20.0)[0].slots == 2
+    assert cell.compute_loads(now_s=20.0)[0].slots == 2
 
 
 def test_prefix_affinity_is_given_up_where_it_costs_more_than_it_saves():
     cell = make_cell(2, prefill_tokens_per_s=10_000.0)
     cell.ask(make_ticket(1, 2_000, now_s=1.0, prefix_key="k"), now_s=1.0)
-    home = cell.schedule(now_s=1.0)[0].replicas
+    first_replicas = cell.schedule(now_s=1.0)[0].replicas
     cell.ask(make_ticket(2, 2_000, now_s=1.05, prefix_key="k"), now_s=1.05)
-    assert cell.schedule(now_s=1.05)[0].replicas == home
+    assert cell.schedule(now_s=1.05)[0].replicas == first_replicas
     for number in range(3, 5):
         cell.ask(make_ticket(number, 4_000, now_s=1.05, prefix_key="k"), now_s=1.05)
     replicas = {p.replicas for p in cell.schedule(now_s=1.05)}
-    assert replicas != {home}
+    assert replicas != {first_replicas}
--- a/lycheetide/scheduling/tests/test_reclaim.py
+++ b/lycheetide/scheduling/tests/test_reclaim.py
@@ -1,4 +1,4 @@
-"""Memory that nobody owns is released, and memory that somebody owns is not."""
+"""Orphaned memory is released, and memory of active requests is not."""
 
 import hypothesis.strategies as st
 from hypothesis import given, settings
@@ -23,10 +23,10 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=300)
 def test_no_order_of_reserve_crash_and_release_leaves_memory_held(events):
-    """Entry nodes reserve, crash, and release; some releases are lost on the way.
+    """Entry nodes reserve memory, crash and release it; some releases are lost.
 
-    If one order of these left memory held, engines would lose it day by day, until
-    operators restart them.
+    If any order of these events left memory held, engines would lose more memory each
+    day until operators restart them.
     """
     held: dict[str, HeldMemory] = {}
     alive: set[str] = set()
@@ -64,7 +64,7 @@
 
 
 def test_memory_without_an_owner_gets_its_grace_anew_after_it_had_one():
-    """A permit arrives at a new owner while its memory's grace runs."""
+    """A permit arrives at a new owner during the grace period of its memory."""
     holding = make_holding(1)
     _, seen = find_orphans([holding], set(), {}, now_s=0.0, grace_s=GRACE_S)
     _, seen = find_orphans([holding], {"r1"}, seen, now_s=1.0, grace_s=GRACE_S)
--- a/lycheetide/scheduling/tests/test_unsent.py
+++ b/lycheetide/scheduling/tests/test_unsent.py
@@ -1,4 +1,4 @@
-"""Permits that entry nodes hold unsent, at an engine that restarts without a word."""
+"""Entry nodes that use permits late, while the engine restarts unnoticed."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -21,12 +21,12 @@
     make_upstream,
 )
 
-USE_S = 2.0
-"""How long an entry node may use a permit, as the policy has it."""
+PERMIT_USE_S = 2.0
+"""How long an entry node may use a permit: the default of ``Policy.permit_use_s``."""
 
 
-class StalledEntries(RuleBasedStateMachine):
-    """Entry nodes send what they were granted late, or never, and in any order."""
+class StalledEntryNodes(RuleBasedStateMachine):
+    """Entry nodes send granted requests late or never, and in any order."""
 
     def __init__(self):
         super().__init__()
@@ -37,7 +37,7 @@
         self.unsent = []
         self.running = {}
         self.answers = []
-        self.told = []
+        self.confirmations = []
         self.cell = Cell("c", owner_id="n1")
         self.cell.is_settled = True
         self.cell.apply_upstreams([make_upstream()], DOMAINS, now_s=0.0)
@@ -67,20 +67,20 @@
     @rule(position=st.integers(0, 20))
     def send(self, position):
         permit = self.unsent.pop(position % len(self.unsent))
-        if self.now_s - permit.granted_s > USE_S:
+        if self.now_s - permit.granted_s > PERMIT_USE_S:
             self.cell.finish(permit.permit_id)
         else:
             self.running[permit.permit_id] = permit
-            self.told.append((permit.permit_id, "e1", f"b{self.boot}"))
+            self.confirmations.append((permit.permit_id, "e1", f"b{self.boot}"))
 
-    @precondition(lambda self: self.told)
+    @precondition(lambda self: self.confirmations)
     @rule(position=st.integers(0, 20))
-    def tell_what_was_met(self, position):
-        self.cell.note_met(*self.told.pop(position % len(self.told)))
+    def confirm_acceptance(self, position):
+        self.cell.note_met(*self.confirmations.pop(position % len(self.confirmations)))
 
     @precondition(lambda self: self.unsent)
     @rule()
-    def go_on(self):
+    def send_all(self):
         while self.unsent:
             self.send(0)
 
@@ -101,19 +101,19 @@
         self.cell.take_report("e1", report, asked_s=self.now_s, now_s=self.now_s)
 
     @rule()
-    def ask_what_was_met(self):
+    def list_accepted_requests(self):
         met = {permit.ticket.request_id for permit in self.running.values()}
         self.answers.append((f"b{self.boot}", met, self.now_s))
 
     @precondition(lambda self: self.answers)
     @rule(position=st.integers(0, 20))
-    def read_what_was_met(self, position):
+    def read_accepted_requests(self, position):
         boot_id, met, asked_s = self.answers.pop(position % len(self.answers))
         self.cell.take_met("e1", boot_id, met, asked_s=asked_s)
 
     @precondition(lambda self: not self.is_cold)
     @rule()
-    def restart_without_a_word(self):
+    def restart_unannounced(self):
         self.boot += 1
         self.is_cold = True
         for permit_id in self.running:
@@ -125,16 +125,16 @@
         self.is_cold = False
 
     @invariant()
-    def cold_engine_bears_its_load(self):
+    def cold_engine_is_within_its_limit(self):
         if self.is_cold:
             assert len(self.running) <= COLD_LIMIT, len(self.running)
 
 
-class TestStalledEntries(StalledEntries.TestCase):  # type: ignore[misc, valid-type]
-    """Entry nodes stand still with permits in their hands while an engine restarts.
+class TestStalledEntries(StalledEntryNodes.TestCase):  # type: ignore[misc, valid-type]
+    """Entry nodes stall while holding unused permits, and the engine restarts.
 
-    Each permit was proved by the life that the engine had before, and all of them meet
-    the next one, which falls over.
+    All these permits were granted on confirmations by the engine's earlier process. If
+    their requests all arrived at the new, cold process, it would crash.
     """
 
     settings = settings(
@@ -143,14 +143,14 @@
 
 
 def grant(cell, count, *, now_s):
-    """Grant what may be granted of so many requests."""
+    """Submit ``count`` requests and return the permits that are granted."""
     for number in range(count):
         cell.ask(make_ticket(f"{now_s}-{number}", now_s=now_s), now_s=now_s)
     return cell.schedule(now_s=now_s)
 
 
 def test_a_report_does_not_prove_what_was_not_sent():
-    """A report is asked for while the first permits wait at their entry nodes."""
+    """A report is requested while the first permits are unused at their entry nodes."""
     cell = make_cell()
     assert len(grant(cell, 8, now_s=1.0)) == COLD_LIMIT - 1
     report = Report("b1", True, kv_capacity_tokens=CAPACITY, met=frozenset())
@@ -159,7 +159,7 @@
 
 
 def test_a_request_that_an_engine_works_on_makes_room_for_the_next():
-    """Owners that waited for more than that would leave engines idle."""
+    """If owners required more than this confirmation, engines would be left idle."""
     cell = make_cell()
     first, _ = grant(cell, 8, now_s=1.0)
     assert cell.find_unproved() == ["e1"]
@@ -167,8 +167,8 @@
     assert len(cell.schedule(now_s=1.1)) == 1
 
 
-def test_an_entry_nodes_word_makes_room_for_the_next():
-    """Asked for what they hold, engines would cost owners more than their prompts."""
+def test_a_confirmation_by_the_entry_node_allows_the_next_grant():
+    """Querying the engines instead would cost owners more than the prompts do."""
     cell = make_cell()
     first, _ = grant(cell, 8, now_s=1.0)
     assert cell.is_short_of_proof(["e1"])
@@ -177,20 +177,20 @@
 
 
 def test_a_permit_that_can_be_used_no_more_makes_room_for_the_next():
-    """An entry node dies with its permits in its hands.
+    """An entry node crashes while it holds unused permits.
 
-    Nobody will ever see their requests; the engine would get nothing for as long as
-    they are renewed by nobody.
+    Their requests will never be confirmed. If they counted as unconfirmed until the
+    permits are lost for lack of renewal, the engine would get no requests until then.
     """
     cell = make_cell()
     grant(cell, 8, now_s=1.0)
     report = Report("b1", True, kv_capacity_tokens=CAPACITY, met=frozenset())
-    cell.take_report("e1", report, asked_s=1.0 + USE_S + 0.1, now_s=3.2)
+    cell.take_report("e1", report, asked_s=1.0 + PERMIT_USE_S + 0.1, now_s=3.2)
     assert len(cell.schedule(now_s=3.2)) == COLD_LIMIT - 1
 
 
 def test_another_life_proves_nothing():
-    """An engine has restarted, and answers before a report told of it."""
+    """An engine has restarted, and answers before a load report showed the restart."""
     cell = make_cell()
     first, _ = grant(cell, 8, now_s=1.0)
     known = cell.take_met("e1", "b2", {first.ticket.request_id}, asked_s=1.1)
