--- a/lycheetide/replicas/__init__.py
+++ b/lycheetide/replicas/__init__.py
@@ -1,4 +1,4 @@
-"""The replicas that take requests: what they say of themselves, and since when."""
+"""The table of replicas, built from the records of the registry."""
 
 from lycheetide.replicas._domains import drop_dark_domains
 from lycheetide.replicas._table import Change, Entry, Replica, ReplicaTable
--- a/lycheetide/replicas/_domains.py
+++ b/lycheetide/replicas/_domains.py
@@ -1,17 +1,20 @@
-"""Tell a failure domain that went dark from replicas that fail one by one."""
+"""Detection of failure domains that have failed as a whole."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
 
 from lycheetide.replicas._table import Replica
 
-TROUBLED_MOST = 2
-"""Replicas of one failure domain that fail together before it counts as dark."""
-TOGETHER_S = 1.5
-"""They fail together within this time; a dark domain is tried again after it."""
-DARK_SHARE = 0.5
-"""Part of the replicas up to which domains may count as dark at once. Where more seem
-to be, this node is the one that is cut off, and leaving them out would serve nobody."""
+MIN_FAILED_REPLICAS = 2
+"""A failure domain counts as failed once this many of its replicas fail together."""
+FAILURE_WINDOW_S = 1.5
+"""Failures within this time count as joint; a failed domain is retried after it."""
+MAX_FAILED_SHARE = 0.5
+"""Maximum share of all replicas that may be excluded as part of failed domains.
+
+If more seem to have failed, this node itself is probably cut off, and excluding them
+would only make it refuse requests.
+"""
 
 
 def drop_dark_domains(
@@ -21,21 +24,21 @@
     answered_s: Callable[[str], float],
     now_s: float,
 ):
-    """Return the replicas whose failure domain isn't dark.
+    """Return the replicas whose failure domain has not failed.
 
-    Replicas of a domain that lost power refuse connections or fall silent one after the
-    other. Each request that finds out for itself uses up an attempt, and soon all of
-    them. So two that fail together, while none of the same domain answers any more,
-    speak for the whole domain.
+    The replicas of a domain that lost power refuse connections or stop answering one
+    after the other. A request that discovers this by itself uses an attempt for each
+    replica, and soon runs out of attempts. So the whole domain counts as failed when
+    two of its replicas fail together and none of them has answered since.
 
     Parameters
     ----------
     replicas : iterable of Replica
-        Those that may be used.
+        The usable replicas.
     troubled_s : callable
-        When a replica last failed, by its id; -inf for never.
+        Returns when the replica with a given id last failed; -inf for never.
     answered_s : callable
-        When this node last heard it; -inf for never.
+        Returns when that replica last answered this node; -inf for never.
     now_s : float
         The present time.
 
@@ -47,20 +50,26 @@
     domains = defaultdict(list)
     for replica in replicas:
         domains[replica.entry.failure_domain].append(replica.entry.id)
-    dark = {
+    failed_domains = {
         domain
-        for domain, ids in domains.items()
-        if _is_dark(ids, troubled_s, answered_s, now_s=now_s)
+        for domain, replica_ids in domains.items()
+        if _has_failed(replica_ids, troubled_s, answered_s, now_s=now_s)
     }
-    left = [one for one in replicas if one.entry.failure_domain not in dark]
-    if len(left) < (1.0 - DARK_SHARE) * len(replicas):
+    remaining = [
+        replica
+        for replica in replicas
+        if replica.entry.failure_domain not in failed_domains
+    ]
+    if len(remaining) < (1.0 - MAX_FAILED_SHARE) * len(replicas):
         return replicas
-    return left
+    return remaining
 
 
-def _is_dark(ids, troubled_s, answered_s, *, now_s):
-    """Tell whether the replicas of a failure domain failed together."""
-    failed_s = [at_s for at_s in map(troubled_s, ids) if now_s - at_s < TOGETHER_S]
-    if len(failed_s) < TROUBLED_MOST:
+def _has_failed(replica_ids, troubled_s, answered_s, *, now_s):
+    """Tell whether the replicas of a failure domain have failed together."""
+    failed_s = [
+        at_s for at_s in map(troubled_s, replica_ids) if now_s - at_s < FAILURE_WINDOW_S
+    ]
+    if len(failed_s) < MIN_FAILED_REPLICAS:
         return False
-    return max(map(answered_s, ids)) < max(failed_s)
+    return max(map(answered_s, replica_ids)) < max(failed_s)
--- a/lycheetide/replicas/_table.py
+++ b/lycheetide/replicas/_table.py
@@ -1,8 +1,8 @@
-"""Fold the registry's records into the replicas that may be used.
+"""The table of usable replicas, built from the records of the registry.
 
-The registry is late, may repeat old records, and drops entries of living replicas
-while it is out. Without the order kept here a node would send to replicas that left,
-or to none at all after an outage.
+The registry is delayed, may deliver old records again, and loses entries of live
+replicas during an outage. Without the ordering done here, a node would send requests to
+replicas that have left, or would know of no replicas after an outage.
 """
 
 from collections.abc import Iterable, Iterator
@@ -10,40 +10,40 @@
 
 import xxhash
 
-RETURN_GRACE_S = 2.0
-"""How long after an outage of the registry an entry may still come back.
+RECOVERY_GRACE_S = 2.0
+"""How long after an outage of the registry a removed entry may still return.
 
-From the platform's promise that entries of living replicas are back within about two
+The platform guarantees that the entries of live replicas are back within about two
 seconds.
 """
-TOMBSTONES_KEPT = 2_000
-"""Removed replicas whose last counts are remembered, so that old records stay old."""
+MAX_TOMBSTONES = 2_000
+"""Removed replicas whose order keys are kept, to recognize outdated records."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """What a replica last said of itself.
+    """An entry that a replica writes into the registry.
 
     Parameters
     ----------
     id : str
-        Names one start of a replica.
+        The id of the replica.
     service : str
-        What it serves.
+        The service that it belongs to.
     address : str
-        "ip:port".
+        Its address, "ip:port".
     failure_domain : str
-        What it fails together with.
+        The failure domain in which it runs.
     slots : int
-        Requests it processes at once.
+        The number of requests that it processes concurrently.
     is_draining : bool
         Whether it is about to leave.
     cold_s : float
-        How much longer it was cold when it wrote this.
+        The remaining duration of its cold start when the entry was written.
     born_ms : int
-        Start of the process, Unix milliseconds; 0 where unknown.
+        The start of its process in Unix milliseconds; 0 if unknown.
     sequence : int
-        Counts its records since then.
+        The sequence number of the entry, counted from the start of the process.
     """
 
     id: str
@@ -57,14 +57,14 @@
     sequence: int = 0
 
     @property
-    def age_key(self):
-        """Orders the records of one replica."""
+    def order_key(self):
+        """The sort key of the entries of one replica."""
         return self.born_ms, self.sequence
 
 
 @dataclass(frozen=True)
 class Change:
-    """A record of the registry: an entry, or None where it was removed."""
+    """A record of the registry: a new entry, or None if the entry was removed."""
 
     id: str
     offset: int
@@ -73,151 +73,158 @@
 
 @dataclass(frozen=True)
 class Replica:
-    """A replica as this node knows it.
+    """A replica as known to this node; all times are on this node's clock.
 
     Parameters
     ----------
     entry : Entry
-        Its last entry.
+        Its latest entry.
     offset : int
-        Where in the registry that stands.
+        The offset of that entry in the registry.
     cold_until_s : float
-        On this node's clock.
+        When its cold start ends.
     seen_s : float
-        When this node first saw this start of it.
-    gone_s : float or None
-        From when on it is gone; may lie ahead after an outage of the registry.
+        When this node first saw an entry of its current process.
+    removed_from_s : float or None
+        The time from which it counts as removed; may lie in the future after an outage
+        of the registry.
     """
 
     entry: Entry
     offset: int
     cold_until_s: float
     seen_s: float
-    gone_s: float | None = None
+    removed_from_s: float | None = None
 
     def is_usable(self, *, now_s):
-        """Tell whether it takes new work."""
+        """Tell whether the replica may be sent new requests."""
         if self.entry.is_draining:
             return False
-        return self.gone_s is None or now_s < self.gone_s
+        return self.removed_from_s is None or now_s < self.removed_from_s
 
     def is_cold(self, *, now_s):
-        """Tell whether it bears only its cold limit."""
+        """Tell whether the replica can handle only its cold limit."""
         return now_s < self.cold_until_s
 
 
 class ReplicaTable:
-    """All replicas that the registry told of."""
+    """All replicas that are known from the registry."""
 
     def __init__(self):
         self.replicas: dict[str, Replica] = {}
         self.end = 0
-        self._ages: dict[str, tuple[int, int]] = {}
+        self._latest_keys: dict[str, tuple[int, int]] = {}
         self._digest: int | None = None
 
     def apply(self, changes: Iterable[Change], *, now_s, returned_s=None):
-        """Take records in.
+        """Apply records of the registry.
 
         Parameters
         ----------
         changes : iterable of Change
-            In the registry's order.
+            The records in the registry's order.
         now_s : float
             The present time.
         returned_s : float or None
-            When the registry was last back after an outage.
+            When the registry last recovered from an outage.
 
         Returns
         -------
         list of Change
-            Those that changed what this node believes.
+            Those that made a difference, such as a new, removed or draining replica.
         """
-        taken = [
+        applied = [
             change
             for change in changes
-            if self._apply_one(change, now_s=now_s, returned_s=returned_s)
+            if self._apply_change(change, now_s=now_s, returned_s=returned_s)
         ]
-        self._forget(now_s=now_s)
-        return taken
+        self._drop_removed(now_s=now_s)
+        return applied
 
-    def _apply_one(self, change, *, now_s, returned_s):
-        """Take one record in; tell whether it changed anything."""
+    def _apply_change(self, change, *, now_s, returned_s):
+        """Apply one record; return whether it made a difference."""
         self._digest = None
-        known = self.replicas.get(change.id)
-        if known is not None and change.offset <= known.offset:
+        current = self.replicas.get(change.id)
+        if current is not None and change.offset <= current.offset:
             return False
         if change.entry is None:
-            return self._remove(known, change, now_s=now_s, returned_s=returned_s)
-        return self._put(known, change, now_s=now_s)
-
-    def _remove(self, known, change, *, now_s, returned_s):
-        """Mark a replica as gone, after a grace if the registry was just out."""
-        if known is None:
+            return self._apply_removal(
+                current, change, now_s=now_s, returned_s=returned_s
+            )
+        return self._apply_entry(current, change, now_s=now_s)
+
+    def _apply_removal(self, current, change, *, now_s, returned_s):
+        """Mark a replica as removed, after a grace period if the registry was out."""
+        if current is None:
             return False
-        gone_s = now_s
+        removed_from_s = now_s
         if returned_s is not None:
-            gone_s = max(now_s, returned_s + RETURN_GRACE_S)
-        if known.gone_s is not None:
-            gone_s = min(gone_s, known.gone_s)
-        self.replicas[change.id] = replace(known, offset=change.offset, gone_s=gone_s)
+            removed_from_s = max(now_s, returned_s + RECOVERY_GRACE_S)
+        if current.removed_from_s is not None:
+            removed_from_s = min(removed_from_s, current.removed_from_s)
+        self.replicas[change.id] = replace(
+            current, offset=change.offset, removed_from_s=removed_from_s
+        )
         return True
 
-    def _put(self, known, change, *, now_s):
-        """Take an entry in unless it is older than what is known."""
+    def _apply_entry(self, current, change, *, now_s):
+        """Store an entry unless it is older than the stored one."""
         entry = change.entry
-        last = self._ages.get(change.id, (0, -1))
-        if entry.age_key <= last and not self._is_repeat(known, entry):
+        last = self._latest_keys.get(change.id, (0, -1))
+        if entry.order_key <= last and not self._is_repeated(current, entry):
             return False
-        self._ages[change.id] = max(last, entry.age_key)
-        is_new = known is None or entry.born_ms != known.entry.born_ms
-        turned_cold = entry.cold_s > 0 and not (known and known.is_cold(now_s=now_s))
+        self._latest_keys[change.id] = max(last, entry.order_key)
+        is_new = current is None or entry.born_ms != current.entry.born_ms
+        turned_cold = entry.cold_s > 0 and not (
+            current and current.is_cold(now_s=now_s)
+        )
         self.replicas[change.id] = Replica(
             entry=entry,
             offset=change.offset,
             cold_until_s=now_s + entry.cold_s if entry.cold_s > 0 else now_s,
-            seen_s=now_s if is_new else known.seen_s,
+            seen_s=now_s if is_new else current.seen_s,
         )
-        if is_new or turned_cold or known.gone_s is not None:
+        if is_new or turned_cold or current.removed_from_s is not None:
             return True
-        return known.entry.is_draining != entry.is_draining
+        return current.entry.is_draining != entry.is_draining
 
     @staticmethod
-    def _is_repeat(known, entry):
-        """Tell whether an entry repeats the last one, as some replicas' do."""
-        return known is not None and entry.age_key == known.entry.age_key
+    def _is_repeated(current, entry):
+        """Tell whether an entry repeats the stored one, as some replicas send it."""
+        return current is not None and entry.order_key == current.entry.order_key
 
     def list_all(self, changes: Iterable[Change], end, *, now_s, returned_s=None):
-        """Take a whole listing in; what it lacks is gone.
+        """Apply a complete listing; replicas that it lacks are marked as removed.
 
-        A listing may be older than what is known, and says so by its end; then
-        nothing is taken for gone by its absence.
+        A listing may be older than the table, which shows in its ``end``. Then no
+        replica is marked as removed for being absent.
 
         Returns
         -------
         list of Change
-            As ``apply``.
+            As for ``apply``.
         """
         listed = list(changes)
-        taken = self.apply(listed, now_s=now_s, returned_s=returned_s)
+        applied = self.apply(listed, now_s=now_s, returned_s=returned_s)
         if end < self.end:
-            return taken
-        present = {change.id for change in listed}
-        missing = (
+            return applied
+        listed_ids = {change.id for change in listed}
+        removals = (
             Change(name, max(end, replica.offset + 1), None)
             for name, replica in list(self.replicas.items())
-            if name not in present and replica.offset < end
+            if name not in listed_ids and replica.offset < end
         )
-        taken += self.apply(missing, now_s=now_s, returned_s=returned_s)
+        applied += self.apply(removals, now_s=now_s, returned_s=returned_s)
         self.end = end
-        return taken
+        return applied
 
     def usable(self, service, *, now_s, closed=frozenset()) -> Iterator[Replica]:
-        """Yield the replicas of a service that take new work.
+        """Yield the replicas of a service that may be sent new requests.
 
         Parameters
         ----------
         service : str
-            Its name.
+            The name of the service.
         now_s : float
             The present time.
         closed : set of str
@@ -231,28 +238,29 @@
                 yield replica
 
     def digest(self):
-        """Return a number that is the same at nodes that know the same replicas."""
+        """Return a hash that is equal on nodes that know the same replicas."""
         if self._digest is None:
-            self._digest = self._make_digest()
+            self._digest = self._compute_digest()
         return self._digest
 
-    def _make_digest(self):
-        """Return the digest of what is known now."""
-        known = sorted(
+    def _compute_digest(self):
+        """Compute the digest of the present table."""
+        lines = sorted(
             f"{name} {replica.entry.born_ms} {replica.entry.is_draining}"
             for name, replica in self.replicas.items()
-            if replica.gone_s is None
+            if replica.removed_from_s is None
         )
-        return xxhash.xxh32_intdigest("\n".join(known).encode())
+        return xxhash.xxh32_intdigest("\n".join(lines).encode())
 
-    def _forget(self, *, now_s):
-        """Drop replicas that have been gone for long."""
+    def _drop_removed(self, *, now_s):
+        """Drop replicas that were removed over a minute ago, and surplus order keys."""
         gone = [
             name
             for name, replica in self.replicas.items()
-            if replica.gone_s is not None and now_s - replica.gone_s > 60.0
+            if replica.removed_from_s is not None
+            and now_s - replica.removed_from_s > 60.0
         ]
         for name in gone:
             del self.replicas[name]
-        while len(self._ages) > TOMBSTONES_KEPT + len(self.replicas):
-            self._ages.pop(next(iter(self._ages)))
+        while len(self._latest_keys) > MAX_TOMBSTONES + len(self.replicas):
+            self._latest_keys.pop(next(iter(self._latest_keys)))
--- a/lycheetide/replicas/tests/test_domains.py
+++ b/lycheetide/replicas/tests/test_domains.py
@@ -1,4 +1,4 @@
-"""A failure domain that goes dark, and replicas that fail one by one."""
+"""Failure of a whole failure domain, and failures of single replicas."""
 
 from lycheetide.replicas import Entry, Replica, drop_dark_domains
 
@@ -6,7 +6,7 @@
 
 
 def make_replicas(domains="aaabbbccc"):
-    """Return replicas named by their domain and place, such as ``a0``."""
+    """Return replicas named by their domain and position, such as ``a0``."""
     return [
         Replica(
             Entry(f"{domain}{place}", "models", f"10.0.0.{place}:80", domain, 8),
@@ -18,43 +18,44 @@
     ]
 
 
-def list_left(troubled_s, answered_s, *, now_s=10.0, replicas=None):
-    left = drop_dark_domains(
+def list_remaining(troubled_s, answered_s, *, now_s=10.0, replicas=None):
+    remaining = drop_dark_domains(
         replicas or make_replicas(),
         troubled_s=lambda name: troubled_s.get(name, NEVER_S),
         answered_s=lambda name: answered_s.get(name, NEVER_S),
         now_s=now_s,
     )
-    return {replica.entry.id for replica in left}
+    return {replica.entry.id for replica in remaining}
 
 
-def test_two_replicas_that_fail_together_speak_for_their_domain():
-    """A failure domain loses power while its replicas write.
+def test_two_replicas_that_fail_together_mark_their_domain_as_failed():
+    """A failure domain loses power while its replicas send answers.
 
-    Requests found its replicas dead one by one, each at the price of an attempt, and
-    ran out of attempts before all five were known.
+    Requests discovered its failed replicas one by one, at the cost of an attempt each,
+    and ran out of attempts before all five were known.
     """
-    left = list_left({"a0": 9.99, "a2": 9.98}, {"a1": 9.95, "b3": 9.999})
-    assert left == {"b3", "b4", "b5", "c6", "c7", "c8"}
+    remaining = list_remaining({"a0": 9.99, "a2": 9.98}, {"a1": 9.95, "b3": 9.999})
+    assert remaining == {"b3", "b4", "b5", "c6", "c7", "c8"}
 
 
-def test_a_domain_in_which_any_replica_still_answers_is_not_dark():
-    """Two replicas crash, or reset some answers, while the third goes on writing."""
-    assert len(list_left({"a0": 9.98, "a2": 9.98}, {"a1": 9.99})) == 9
+def test_a_domain_in_which_any_replica_still_answers_has_not_failed():
+    """Two replicas crash or reset some answers, while the third continues to answer."""
+    assert len(list_remaining({"a0": 9.98, "a2": 9.98}, {"a1": 9.99})) == 9
 
 
-def test_one_replica_that_fails_speaks_for_itself_only():
-    assert len(list_left({"a0": 9.99}, {})) == 9
+def test_a_single_failed_replica_does_not_mark_its_domain_as_failed():
+    assert len(list_remaining({"a0": 9.99}, {})) == 9
 
 
-def test_a_dark_domain_is_tried_again_after_a_while():
-    assert len(list_left({"a0": 8.0, "a2": 8.1}, {}, now_s=9.7)) == 9
+def test_a_failed_domain_is_tried_again_after_a_while():
+    assert len(list_remaining({"a0": 8.0, "a2": 8.1}, {}, now_s=9.7)) == 9
 
 
-def test_where_most_seem_dark_all_are_kept():
-    """This node's own link is cut, and every replica falls silent.
+def test_all_replicas_are_kept_where_most_domains_seem_to_have_failed():
+    """This node's own link is cut, so no replica answers it.
 
-    Without any replica left it would refuse all requests, also once it is back.
+    If it excluded all replicas, it would refuse all requests, even after its link is
+    restored.
     """
     troubled_s = dict.fromkeys(("a0", "a1", "b3", "b4", "c6", "c7"), 9.9)
-    assert len(list_left(troubled_s, {})) == 9
+    assert len(list_remaining(troubled_s, {})) == 9
--- a/lycheetide/replicas/tests/test_table.py
+++ b/lycheetide/replicas/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Records of replicas that come late, twice, or not at all."""
+"""Registry records that arrive late, twice, or not at all."""
 
 import pytest
 
@@ -25,13 +25,17 @@
 
 
 def names(table, now_s=0.0, closed=frozenset()):
-    return {one.entry.id for one in table.usable("models", now_s=now_s, closed=closed)}
+    return {
+        replica.entry.id
+        for replica in table.usable("models", now_s=now_s, closed=closed)
+    }
 
 
 def test_an_old_record_that_arrives_late_changes_nothing():
-    """A replica drains; an earlier record of it is written after that.
+    """A replica drains, and an earlier record of it is written after that.
 
-    Believed, it would bring new work to a replica that is about to end.
+    If that record were applied, new requests would go to a replica that is about to
+    stop.
     """
     table = ReplicaTable()
     put(table, 0, make_entry(sequence=5))
@@ -49,7 +53,7 @@
 
 
 def test_a_replica_that_starts_again_under_its_id_is_new_and_cold():
-    """Its counts start anew, so only the moment of its start tells them apart."""
+    """Its sequence starts again, so only the start time distinguishes its records."""
     table = ReplicaTable()
     put(table, 0, make_entry(sequence=90))
     put(table, 1, make_entry(born_ms=2_000, sequence=0, cold_s=3.0), now_s=5.0)
@@ -95,7 +99,7 @@
 
 
 def test_tables_that_know_the_same_have_the_same_digest():
-    """Nodes compare digests to find out that a message was lost."""
+    """Nodes compare digests to detect that a message was lost."""
     one, other = ReplicaTable(), ReplicaTable()
     put(one, 0, make_entry())
     put(one, 3, make_entry("b"))
