--- a/lycheetide/membership/__init__.py
+++ b/lycheetide/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is alive, which view of the members is in force, and who owns what."""
+"""Cluster membership: which members are alive, the current view, and cell ownership."""
 
 from lycheetide.membership._evidence import (
     CellSummary,
--- a/lycheetide/membership/_evidence.py
+++ b/lycheetide/membership/_evidence.py
@@ -1,9 +1,10 @@
-"""What a node has heard of the members, and how old it is.
+"""The evidence that a node has of the members, and its age.
 
-Evidence is dated by the moment at which this node asked, not at which it read the
-answer. A node that was frozen finds answers in its sockets that look new but are as
-old as the freeze; dated at reading, they would let it act on a lease that ran out
-while it slept, and two owners would grant at once.
+Evidence is dated by the time at which this node sent its question, not by the time at
+which it read the answer. After a freeze, a node finds answers in its sockets that look
+new but are as old as the freeze. If they were dated when read, the node would act on a
+lease that expired during the freeze, and two owners would grant permits at the same
+time.
 """
 
 from collections.abc import Mapping
@@ -15,20 +16,21 @@
 
 
 class CellSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner tells others about a cell.
+    """The load of a cell, as its owner reports it to other nodes.
 
     Parameters
     ----------
     cell : str
-        The cell.
+        The name of the cell.
     waiting_tokens, running_tokens : int
-        Prompt tokens that wait for a replica, and that are being read.
+        The prompt tokens that are queued for a replica, and those that were granted
+        but are not prefilled yet.
     short_tokens : int
-        Those of either kind that belong to short prompts.
+        Those tokens of both kinds that belong to short prompts.
     tokens_per_s : float
-        How fast the open replicas read prompts together.
+        The total prefill rate of the open replicas.
     free_requests : int
-        How many more requests the open replicas bear.
+        The number of further requests that the open replicas can be granted.
     """
 
     cell: str
@@ -40,23 +42,24 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """What one member said, as told by itself or by another.
+    """The status of one member, as reported by itself or passed on by another one.
 
     Parameters
     ----------
     member : Member
-        Who said it.
+        The member that the status is of.
     age_ms : int
-        How long ago, at most, counted at the teller.
+        The maximum age of the status, measured by the member that sends the row.
     state : str
-        Its state in the node's chart.
+        The state of the member in the node state chart.
     view_number, settled_number, config_version : int
-        The newest view it knows, the newest it knows to be settled, and the
-        configuration that it has in force.
+        The newest view known to the member, the newest view it knows to be settled, and
+        the version of the configuration that it has in force.
     cells : tuple of CellSummary
-        The cells that it owns.
+        The cells that the member owns.
     deposed : tuple of str
-        Members of its view whom it won't help to act as owners any more.
+        Ids of the members of its view that it has deposed: it no longer counts towards
+        their majority.
     """
 
     member: Member
@@ -71,56 +74,56 @@
 
 @dataclass(frozen=True)
 class Evidence:
-    """A row and the moment, on this node's clock, that it is dated from."""
+    """A row and the time, on this node's clock, from which it dates."""
 
     at_s: float
     row: Row
 
 
 def merge_rows(evidence, rows, *, asked_s):
-    """Return the evidence with an answer's rows taken in.
+    """Merge the rows of an answer into the evidence.
 
     Parameters
     ----------
     evidence : mapping of str to Evidence
-        By member id.
+        The evidence so far, by member id.
     rows : iterable of Row
-        The answer.
+        The rows of the answer.
     asked_s : float
         When the question was sent.
 
     Returns
     -------
     dict of str to Evidence
-        For each member, the newer of the two.
+        The newest evidence of each member.
     """
-    merged = dict(evidence)
+    newest_evidence = dict(evidence)
     for row in rows:
         at_s = asked_s - row.age_ms / 1000
-        known = merged.get(row.member.member_id)
-        if known is None or at_s > known.at_s:
-            merged[row.member.member_id] = Evidence(at_s, row)
-    return merged
+        item = newest_evidence.get(row.member.member_id)
+        if item is None or at_s > item.at_s:
+            newest_evidence[row.member.member_id] = Evidence(at_s, row)
+    return newest_evidence
 
 
 def is_majority_heard(
     view, evidence: Mapping, *, own_id, now_s, within_s, as_owner=False
 ):
-    """Tell whether most members of a view lately knew no later one.
+    """Tell whether most members of a view recently reported knowing no later one.
 
     Parameters
     ----------
     view : View
-        The view that this node acts on.
+        The view on which this node acts.
     evidence : mapping of str to Evidence
-        By member id.
+        The latest evidence by member id.
     own_id : str
-        This node, which counts itself if it is a member.
+        The member id of this node, which counts itself if it is a member.
     now_s, within_s : float
-        The present time and how old evidence may be.
+        The present time, and the maximum age of evidence.
     as_owner : bool, default=False
-        Whether members that have deposed this node are left out: they help it to
-        know what is in force, but not to act.
+        Whether to leave out members that have deposed this node. They count towards
+        the majority that confirms the view, but not towards the one for its lease.
 
     Returns
     -------
@@ -132,11 +135,11 @@
         if member.member_id == own_id:
             heard += 1
             continue
-        known = evidence.get(member.member_id)
-        if known is None or known.row.view_number > view.number:
+        item = evidence.get(member.member_id)
+        if item is None or item.row.view_number > view.number:
             continue
-        if as_owner and own_id in known.row.deposed:
+        if as_owner and own_id in item.row.deposed:
             continue
-        if now_s - known.at_s <= within_s:
+        if now_s - item.at_s <= within_s:
             heard += 1
     return heard * 2 > len(view.members)
--- a/lycheetide/membership/_owner.py
+++ b/lycheetide/membership/_owner.py
@@ -1,22 +1,23 @@
-"""Rendezvous hashing: which member owns a cell."""
+"""Choice of the owner of a cell by rendezvous hashing."""
 
 import xxhash
 
 
 def rank_members(cell, members):
-    """Return the members, the owner first.
+    """Rank the members for a cell, the owner first.
 
     Parameters
     ----------
     cell : str
-        The cell's name.
+        The name of the cell.
     members : iterable of Member
         The members of a view.
 
     Returns
     -------
     list of Member
-        By descending weight; a member that leaves moves only its own cells.
+        Sorted by descending weight. When a member leaves, only its own cells get
+        another owner.
     """
 
     def weight(member):
@@ -25,18 +26,19 @@
     return sorted(members, key=weight, reverse=True)
 
 
-def choose_owner(cell, view, *, without=frozenset()):
+def choose_owner(cell, view, *, excluded=frozenset()):
     """Return the member that owns ``cell`` in ``view``, or None.
 
     Parameters
     ----------
     cell : str
-        The cell's name.
+        The name of the cell.
     view : View
-        The members.
-    without : set of str
-        Ids of members that can't act any more; the next in order stands in.
+        The view whose members may own the cell.
+    excluded : set of str
+        Ids of members that can't act as owners any more; the next member in the
+        ranking takes over from them.
     """
-    present = (m for m in view.members if m.member_id not in without)
-    ranked = rank_members(cell, present)
-    return ranked[0] if ranked else None
+    remaining = (m for m in view.members if m.member_id not in excluded)
+    ranking = rank_members(cell, remaining)
+    return ranking[0] if ranking else None
--- a/lycheetide/membership/_view.py
+++ b/lycheetide/membership/_view.py
@@ -1,4 +1,4 @@
-"""Views: numbered lists of members, put in order by the log."""
+"""Views: numbered lists of members, ordered by the log."""
 
 from dataclasses import dataclass
 
@@ -6,19 +6,19 @@
 
 
 class Member(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """One life of one host's node.
+    """One run of the node on a host, from its start to its end.
 
     Parameters
     ----------
     host : str
-        The node's name in its settings.
+        The name of the node in its settings.
     incarnation : str
-        Drawn anew at each start, so that a restarted node, which remembers nothing,
-        is never taken for the one that promised something.
+        Generated at each start. A restarted node has lost its state, so it must not be
+        mistaken for the earlier run, whose promises it doesn't know.
     peer_address : str
-        Where other nodes reach it.
+        The address at which other nodes reach it.
     failure_domain : str
-        Where it stands.
+        The failure domain in which it runs.
     """
 
     host: str
@@ -28,13 +28,13 @@
 
     @property
     def member_id(self):
-        """The host and the incarnation in one string."""
+        """The host and the incarnation, joined by a slash."""
         return f"{self.host}/{self.incarnation}"
 
 
 @dataclass(frozen=True)
 class Host:
-    """One row of the platform's list of hosts."""
+    """A host in the platform's list of hosts."""
 
     name: str
     peer_address: str
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True)
 class View:
-    """The members in force from one record of the log on.
+    """The list of members in force as of one record of the log.
 
     Parameters
     ----------
     number : int
-        The record's offset plus one; 0 before the first.
+        The offset of the record plus one; 0 for the view before the first record.
     members : tuple of Member
-        In order of their names.
+        Sorted by name.
     """
 
     number: int = 0
@@ -65,7 +65,7 @@
 
 
 def make_view_record(record_id, *, base_number, members):
-    """Return a proposal for the next view as it stands on the log."""
+    """Return a log record that proposes the next view."""
     return {
         "kind": "view",
         "id": record_id,
@@ -75,7 +75,7 @@
 
 
 def make_view_snapshot_record(view):
-    """Return a view as a record of its own, so that older records may expire."""
+    """Return a log record that holds a whole view, so that older records may expire."""
     return {
         "kind": "view_snapshot",
         "number": view.number,
@@ -84,21 +84,24 @@
 
 
 def fold_view(view, offset, record):
-    """Return the view after one record: the first made from the present one wins.
+    """Apply one log record to a view.
+
+    Of the proposals that are based on the same view, the first one on the log wins.
 
     Parameters
     ----------
     view : View
         The present view.
     offset : int
-        The record's place on the log.
+        The offset of the record on the log.
     record : mapping
         The record as read.
 
     Returns
     -------
     View
-        The same view where the record was made from another one.
+        The next view, or ``view`` itself if the record is based on another view or is
+        malformed.
     """
     if offset < view.number or not isinstance(record, dict):
         return view
@@ -114,5 +117,5 @@
 
 
 def _read_members(record):
-    """Decode a record's members."""
+    """Decode the members of a record."""
     return msgspec.convert(record["members"], tuple[Member, ...])
--- a/lycheetide/membership/tests/test_deputies.py
+++ b/lycheetide/membership/tests/test_deputies.py
@@ -1,4 +1,4 @@
-"""Members that die while no view can be written."""
+"""Failover of members that fail while no view can be written."""
 
 import pytest
 
@@ -21,22 +21,22 @@
 
 
 class Fleet:
-    """Members of one view that hear one another, without a network."""
+    """The members of one view, which exchange rows without a network."""
 
     def __init__(self, count):
         self.members = make_members(NAMES[:count])
         self.nodes = {m.member_id: make_node(m, self.members) for m in self.members}
-        self.dead = set()
+        self.unresponsive = set()
 
-    def talk(self, now_s):
-        """Let each living member ask all living ones, then look for silence."""
+    def exchange_rows(self, now_s):
+        """Let each responsive member poll all others, then depose silent members."""
         for asker in self.living():
             asker.deputies.note_awake(now_s=now_s)
-            for told in self.living():
-                if told is asker:
+            for answerer in self.living():
+                if answerer is asker:
                     continue
                 rows = list(
-                    told.make_rows(
+                    answerer.make_rows(
                         state="serving", config_version=1, cells=(), now_s=now_s
                     )
                 )
@@ -45,14 +45,17 @@
             asker.settle(now_s=now_s)
 
     def living(self):
-        return [n for name, n in self.nodes.items() if name not in self.dead]
+        return [n for name, n in self.nodes.items() if name not in self.unresponsive]
 
     def run(self, start_s, end_s):
-        """Let them talk ten times a second and return who may act for the cell when."""
+        """Let members exchange rows ten times a second.
+
+        Returns pairs of a time and the id of a member that may act for the cell then.
+        """
         acting = []
         for step in range(round((end_s - start_s) * 10)):
             now_s = start_s + step / 10
-            self.talk(now_s)
+            self.exchange_rows(now_s)
             for node in self.nodes.values():
                 if node.find_owner("cell") == node.own and node.is_acting(now_s=now_s):
                     acting.append((now_s, node.own.member_id))
@@ -61,14 +64,14 @@
 
 @pytest.mark.parametrize("count", [3, 4, 5])
 def test_the_next_member_stands_in_for_a_dead_owner(count):
-    """The owner dies while the log is out, so no view can leave it out.
+    """The owner fails during an outage of the log, so no view can replace it.
 
-    Its prompts would wait for it until their time is up.
+    Without a failover, prompts for its cells would wait until their deadlines.
     """
     fleet = Fleet(count)
     before = fleet.run(0.0, 3.0)
     (owner,) = {name for _, name in before}
-    fleet.dead.add(owner)
+    fleet.unresponsive.add(owner)
     after = fleet.run(3.0, 12.0)
     late = {name for at_s, name in after if at_s > 10.0}
     assert len(late) == 1
@@ -79,15 +82,16 @@
 
 @pytest.mark.parametrize("count", [3, 4, 5])
 def test_an_owner_that_was_only_frozen_never_acts_beside_its_deputy(count):
-    """The owner is frozen for long and goes on with what it believed before.
+    """The owner is frozen for long, then continues with its earlier state.
 
-    If both granted, a cold replica would get twice what it bears.
+    If both it and the member that took over granted permits, a cold replica would get
+    twice the requests it can handle.
     """
     fleet = Fleet(count)
     (owner,) = {name for _, name in fleet.run(0.0, 3.0)}
-    fleet.dead.add(owner)
+    fleet.unresponsive.add(owner)
     during = fleet.run(3.0, 12.0)
-    fleet.dead.clear()
+    fleet.unresponsive.clear()
     acting = during + fleet.run(12.0, 16.0)
     by_time: dict[float, set] = {}
     for at_s, name in acting:
@@ -98,17 +102,17 @@
 
 @pytest.mark.parametrize("frozen", [1, 2, 3])
 def test_members_that_were_frozen_depose_nobody_for_their_own_silence(frozen):
-    """Members are frozen for long; thawed, all they have heard of others is old.
+    """Members are frozen for long; afterwards all their evidence of others is old.
 
-    If each took the others for dead, nobody could act as an owner until the log is
-    back, and every prompt would wait until its time is up.
+    If each deposed the others as silent, no member could act as an owner until the log
+    is back, and every prompt would wait until its deadline.
     """
     fleet = Fleet(3)
     fleet.run(0.0, 3.0)
     names = [node.own.member_id for node in fleet.living()]
-    fleet.dead.update(names[:frozen])
+    fleet.unresponsive.update(names[:frozen])
     fleet.run(3.0, 9.0)
-    fleet.dead.clear()
+    fleet.unresponsive.clear()
     for node in fleet.nodes.values():
         node.deputies.note_awake(now_s=9.0)
         node.depose_silent(now_s=9.0, silent_s=SILENT_S)
@@ -118,9 +122,9 @@
 
 
 def test_a_minority_never_stands_in():
-    """A member that is cut off from all others takes them for dead.
+    """A member that is cut off from all others deposes them as silent.
 
-    It must not act for their cells, since they go on serving.
+    It must not take over their cells, since they continue to serve.
     """
     fleet = Fleet(3)
     fleet.run(0.0, 3.0)
@@ -137,12 +141,12 @@
 
 
 def test_a_new_view_gives_a_deposed_member_its_cells_back():
-    """The log is back and names the member that was silent for a while."""
+    """After an outage of the log, a new view includes the deposed member again."""
     fleet = Fleet(3)
     (owner,) = {name for _, name in fleet.run(0.0, 3.0)}
-    fleet.dead.add(owner)
+    fleet.unresponsive.add(owner)
     fleet.run(3.0, 12.0)
-    fleet.dead.clear()
+    fleet.unresponsive.clear()
     for node in fleet.nodes.values():
         node.take_view(View(2, fleet.members), now_s=12.0)
     acting = fleet.run(12.0, 20.0)
--- a/lycheetide/membership/tests/test_state.py
+++ b/lycheetide/membership/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Two owners never act at once, whatever is delayed, lost, frozen or restarted."""
+"""Two owners never act at the same time, despite delays, losses, freezes, restarts."""
 
 import hypothesis.strategies as st
 import pytest
@@ -15,10 +15,10 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Nodes that hear one another and the log late, out of order, or not at all.
+    """Nodes that get answers and log records late, out of order, or not at all.
 
-    A node that is frozen is one for which no rule runs while time passes; its
-    answers wait in its sockets and are read later.
+    A frozen node is one for which no rule runs while time passes; the answers to it
+    wait in its sockets and are read later.
     """
 
     def __init__(self):
@@ -26,7 +26,7 @@
         self.now_s = 100.0
         self.log = []
         self.read = [0] * HOSTS
-        self.lives = [0] * HOSTS
+        self.start_counts = [0] * HOSTS
         self.nodes = [self.make_node(host) for host in range(HOSTS)]
         self.answers = []
         first = tuple(node.own for node in self.nodes)
@@ -35,7 +35,9 @@
             self.read_log(host, 1)
 
     def make_node(self, host):
-        own = Member(f"h{host}", f"life{self.lives[host]}", f"10.0.0.{host}:1", "d")
+        own = Member(
+            f"h{host}", f"life{self.start_counts[host]}", f"10.0.0.{host}:1", "d"
+        )
         return Membership(own, lease_s=LEASE_S, suspect_s=SUSPECT_S)
 
     def read_log(self, host, count):
@@ -57,8 +59,10 @@
     @rule(asker=st.integers(0, HOSTS - 1), asked=st.integers(0, HOSTS - 1))
     def ask(self, asker, asked):
         if asker != asked:
-            life = self.lives[asker]
-            self.answers.append((asker, life, self.now_s, self.make_rows(asked)))
+            start_number = self.start_counts[asker]
+            self.answers.append(
+                (asker, start_number, self.now_s, self.make_rows(asked))
+            )
 
     @rule(asker=st.integers(0, HOSTS - 1))
     def ask_all(self, asker):
@@ -69,8 +73,10 @@
     def read_answer(self, position, loses):
         if not self.answers:
             return
-        asker, life, asked_s, rows = self.answers.pop(position % len(self.answers))
-        if not loses and life == self.lives[asker]:
+        asker, start_number, asked_s, rows = self.answers.pop(
+            position % len(self.answers)
+        )
+        if not loses and start_number == self.start_counts[asker]:
             own_id = self.nodes[asker].own.member_id
             kept = [row for row in rows if row.member.member_id != own_id]
             self.nodes[asker].take_rows(kept, asked_s=asked_s, now_s=self.now_s)
@@ -104,7 +110,7 @@
         rounds=st.integers(1, 14),
     )
     def run_rounds(self, bad, cut_ways, log_cut, frozen, late, rounds):
-        """Let time pass as in a fleet of which some links and hosts are bad."""
+        """Let time pass in a fleet in which some links and hosts are faulty."""
         others = set(range(HOSTS)) - {bad}
         cut = {(other, bad) for other in others if cut_ways in {"in", "both"}}
         cut |= {(bad, other) for other in others if cut_ways in {"out", "both"}}
@@ -124,7 +130,7 @@
 
     @rule(host=st.integers(0, HOSTS - 1))
     def restart(self, host):
-        self.lives[host] += 1
+        self.start_counts[host] += 1
         self.read[host] = 0
         self.nodes[host] = self.make_node(host)
 
@@ -142,11 +148,11 @@
 
 
 class TestFleet(Fleet.TestCase):  # type: ignore[misc, valid-type]
-    """A takeover while the old owner is cut off, frozen or slow.
+    """A cell gets a new owner while the old one is cut off, frozen or slow.
 
-    The old owner lives on, cut off or frozen, while the others put a later view on the
-    log. If both granted at once, an engine in cold start would get twice what it
-    bears and fall over; callers would see their streams break.
+    The old owner is still running while the others write a later view to the log. If
+    both owners granted permits at the same time, an engine in cold start would get
+    twice the requests it can handle and crash, and its streams would break.
     """
 
     settings = settings(
@@ -155,15 +161,15 @@
 
 
 @pytest.fixture(autouse=True)
-def _never_abandon(monkeypatch):
-    """Leave out the last resort for views whose members are all gone.
+def _disable_abandoned_views(monkeypatch):
+    """Disable the expiry of views whose members have all been silent for long.
 
-    It rests on time alone, so it is not proved; docs/PROOFS.md says so.
+    It relies on time alone, so the guarantee isn't proved for it; see docs/PROOFS.md.
     """
     monkeypatch.setattr(state_module, "ABANDON_LEASES", 10**9)
 
 
-def make_trio():
+def make_three_nodes():
     members = [Member(f"h{i}", "x", f"10.0.0.{i}:1", "d") for i in range(3)]
     nodes = [Membership(m, lease_s=LEASE_S, suspect_s=SUSPECT_S) for m in members]
     record = make_view_record("v1", base_number=0, members=members)
@@ -172,68 +178,69 @@
     return nodes
 
 
-def rows_of(node, now_s):
+def list_rows(node, now_s):
     return list(
         node.make_rows(state="serving", config_version=0, cells=(), now_s=now_s)
     )
 
 
 def test_answers_that_waited_in_a_frozen_nodes_sockets_are_old():
-    """A node asks its peers, is frozen, and reads the answers when it is thawed.
+    """A node polls its peers, is frozen, and reads their answers after the freeze.
 
-    Were they dated by their reading, it would think that it holds its lease and
-    grant, while its successor grants too.
+    If the answers were dated by when they are read, the node would assume that its
+    lease is valid and grant permits while its successor does so too.
     """
-    first, second, third = make_trio()
-    answers = rows_of(second, 1.0) + rows_of(third, 1.0)
+    first, second, third = make_three_nodes()
+    answers = list_rows(second, 1.0) + list_rows(third, 1.0)
     first.take_rows(answers, asked_s=1.0, now_s=60.0)
     assert not first.is_acting(now_s=60.0)
 
 
 def test_a_later_owner_waits_until_most_members_know_the_later_view():
-    """One node is heard by nobody, yet hears the third, which can't read the log.
+    """The first node reaches only the third, which can't read the log; none reach it.
 
-    Both go by the earlier view and grant; the second has put a later view on the log.
-    Had it begun after a mere wait, an engine would have two owners.
+    Both of these still act on the earlier view, while the second node has written a
+    later view to the log. If the second became an owner after merely waiting, an engine
+    would have two owners.
     """
-    first, second, third = make_trio()
+    first, second, third = make_three_nodes()
     later = make_view_record("v2", base_number=1, members=[second.own, third.own])
     second.take_record(1, later, now_s=3.0)
     for step in range(40):
         now_s = 3.0 + 0.4 * step
-        second.take_rows(rows_of(third, now_s), asked_s=now_s, now_s=now_s)
-        first.take_rows(rows_of(third, now_s), asked_s=now_s, now_s=now_s)
+        second.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
+        first.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
         assert first.is_acting(now_s=now_s)
         assert not second.is_settled()
     third.take_record(1, later, now_s=20.0)
     for now_s in (20.0, 20.0 + LEASE_S - 0.1):
-        second.take_rows(rows_of(third, now_s), asked_s=now_s, now_s=now_s)
+        second.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
         assert not second.is_settled()
     now_s = 20.0 + LEASE_S + 0.1
-    second.take_rows(rows_of(third, now_s), asked_s=now_s, now_s=now_s)
+    second.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
     assert second.is_settled()
     assert not first.is_acting(now_s=now_s)
 
 
 def test_an_outage_of_the_log_leaves_owners_acting():
-    """The log is out for an hour while the nodes hear one another.
+    """The log is out for an hour while the nodes reach one another.
 
     If owners needed the log to act, every request would be refused in an outage.
     """
-    first, second, third = make_trio()
+    first, second, third = make_three_nodes()
     for now_s in (10.0, 1000.0, 3600.0):
-        answers = rows_of(second, now_s) + rows_of(third, now_s)
+        answers = list_rows(second, now_s) + list_rows(third, now_s)
         first.take_rows(answers, asked_s=now_s, now_s=now_s)
         assert first.is_acting(now_s=now_s + LEASE_S / 2)
 
 
 def test_a_node_that_hears_the_log_but_no_peer_proposes_nothing():
-    """A node loses its peers but not the log.
+    """A node loses the connection to its peers but not to the log.
 
-    If it proposed a view of itself alone, it would take every cell of the region from
-    nodes that are well.
+    If it proposed a view with itself as the only member, it would take over every cell
+    of the region from healthy nodes.
     """
-    first, second, third = make_trio()
-    rows = rows_of(second, 1.0) + rows_of(third, 1.0)
+    first, second, third = make_three_nodes()
+    rows = list_rows(second, 1.0) + list_rows(third, 1.0)
     first.take_rows(rows, asked_s=1.0, now_s=1.0)
     assert first.propose(None, own_state="serving", now_s=10.0) is None
