--- a/lycheetide/board/__init__.py
+++ b/lycheetide/board/__init__.py
@@ -1,11 +1,15 @@
-"""What all nodes have sent to the replicas, as far as each one knows.
+"""Cluster state that every node builds up from the datagrams of its peers.
 
-Every node tells its peers of each request that it places and of its end, in single
-datagrams. Placing rests on that; safety doesn't: a lost datagram costs a little time.
+Each node sends its peers one datagram when it dispatches a request and another when the
+request ends. From these every node keeps its own view of the requests in flight on each
+replica, of the health of replicas and of the living nodes. The view guides placement
+only. Correctness does not depend on it: a lost datagram costs a little latency.
+
+Replicas are said to read a prompt (prefill) and to write an answer (decode).
 """
 
 from lycheetide.board._board import START_WINDOW_S, Board, Job, make_job
-from lycheetide.board._column import Unread
+from lycheetide.board._column import UnreadPart
 from lycheetide.board._delays import Delays, make_sent_ms
 from lycheetide.board._messages import (
     Bundle,
@@ -43,7 +47,7 @@
     "Started",
     "Suspected",
     "Trust",
-    "Unread",
+    "UnreadPart",
     "Waiting",
     "Wants",
     "decode_message",
--- a/lycheetide/board/_column.py
+++ b/lycheetide/board/_column.py
@@ -1,21 +1,22 @@
-"""What is known of one replica's work."""
+"""Workload of one replica."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 
 @dataclass
-class Unread:
+class UnreadPart:
     """A prompt, or a part of one, that a replica hasn't read yet.
 
     Parameters
     ----------
     by_s : float
-        When it is read, at full speed.
+        Expected end of its prefill, at full speed.
     due_s : float
-        When its first event is wanted.
+        Target time of the first event of its request.
     weight : float
-        How many short requests the whole prompt counts as, late by any part of it.
+        Weight of the whole prompt, as a number of short requests: it is late as soon
+        as any part of it is.
     """
 
     by_s: float
@@ -24,29 +25,29 @@
 
 
 @dataclass
-class Column:
-    """One replica's work.
+class ReplicaWorkload:
+    """Work that was sent to one replica.
 
-    A replica reads parts of others' prompts before its own prompts, and the part that
-    came last before those that came earlier.
+    A replica reads helper parts, which are parts of prompts that another replica
+    answers, before its own prompts. Of several helper parts it reads the latest first.
 
     Parameters
     ----------
     busy_until_s : float
-        When all reading that was sent there is done, at full speed.
+        Expected end of all prefill that was sent there, at full speed.
     writers : int
-        Requests that write their answers there, or will.
+        Number of requests that write their answers there, now or later.
     helping : int
-        Parts of others' prompts that are read there.
+        Number of helper parts.
     kv_tokens : int
-        Memory taken.
+        Size of the KV cache in use, in tokens.
     starts : deque of float
-        When the last requests were sent there; parts of others' prompts are none.
+        Times at which the latest requests were sent there; helper parts don't count.
     weights : dict of float to float
-        Weight of the writers, by the longest pause that their callers don't notice;
-        those that have none are left out.
-    unread : dict of (str, str) to Unread
-        What isn't read yet, by node and job.
+        Total weight of the writers, by the longest gap between events that their
+        callers don't notice; writers without such a limit are left out.
+    unread : dict of (str, str) to UnreadPart
+        Prompts and parts that are not read yet, by node and job.
     """
 
     busy_until_s: float = 0.0
@@ -55,16 +56,16 @@
     kv_tokens: int = 0
     starts: deque = field(default_factory=deque)
     weights: dict[float, float] = field(default_factory=dict)
-    unread: dict[tuple[str, str], Unread] = field(default_factory=dict)
+    unread: dict[tuple[str, str], UnreadPart] = field(default_factory=dict)
 
     def is_idle(self, *, now_s):
-        """Tell whether nothing is to be done there."""
+        """Return whether the replica has no work."""
         if self.writers or self.helping or self.kv_tokens:
             return False
         return self.busy_until_s <= now_s
 
     def add(self, job, part, *, now_s):
-        """Add a part of a request."""
+        """Add the part of a job that this replica does."""
         self.busy_until_s = max(self.busy_until_s, now_s) + part.read_s
         self.kv_tokens += part.kv_tokens
         self._add_unread(job, part, now_s=now_s)
@@ -77,17 +78,17 @@
             self.weights[job.gap_s] = self.weights.get(job.gap_s, 0.0) + job.weight
 
     def _add_unread(self, job, part, *, now_s):
-        """Put a part where it is read: its own prompts last, others' parts first."""
+        """Insert a part in reading order: helper parts first, own prompts last."""
         by_s = self.busy_until_s
         if not part.writes:
             by_s = now_s + part.read_s
             for other in self.unread.values():
                 if other.by_s > now_s:
                     other.by_s += part.read_s
-        self.unread[job.node, job.id] = Unread(by_s, job.due_s, job.weight)
+        self.unread[job.node, job.id] = UnreadPart(by_s, job.due_s, job.weight)
 
     def remove(self, job, part, *, now_s):
-        """Take a part of a request away."""
+        """Remove the part of a job that this replica does."""
         self.kv_tokens -= part.kv_tokens
         self.stop_reading(job, part, now_s=now_s)
         if not part.writes:
@@ -102,10 +103,11 @@
                 self.busy_until_s = now_s
 
     def stop_reading(self, job, part, *, now_s):
-        """Take away what a replica hasn't read of a part, and now won't.
+        """Remove the rest of a part's prefill, which the replica won't do any more.
 
-        Left in the sum, prompts that were tried at replicas that are gone would make
-        all others look busy, and the next ones would be refused.
+        When a prompt is tried at replicas that have failed, each attempt also sends
+        parts to replicas that live. If these parts still counted after the attempt,
+        the living replicas would look busy and the next prompts would be refused.
         """
         gone = self.unread.pop((job.node, job.id), None)
         if gone is None or gone.by_s <= now_s:
@@ -117,9 +119,11 @@
                 other.by_s -= left_s
 
     def list_unread(self, *, now_s):
-        """Return what isn't read yet, and forget what is."""
-        if any(one.by_s <= now_s for one in self.unread.values()):
+        """Return the parts that are not read yet, and drop the others."""
+        if any(unread.by_s <= now_s for unread in self.unread.values()):
             self.unread = {
-                key: one for key, one in self.unread.items() if one.by_s > now_s
+                key: unread
+                for key, unread in self.unread.items()
+                if unread.by_s > now_s
             }
         return list(self.unread.values())
--- a/lycheetide/board/_delays.py
+++ b/lycheetide/board/_delays.py
@@ -1,62 +1,72 @@
-"""How late what nodes tell arrives, by their own clocks.
+"""Estimate how late messages of other nodes arrive, without synchronized clocks.
 
-Clocks of nodes have nothing in common but their pace. So of each node the message that
-came soonest after it was sent is remembered; what others take longer is their delay.
+The clocks of two nodes have an unknown offset and run at the same rate. So the smallest
+difference between arrival time and send time is kept for each node. It stands for a
+message without delay, and the delay of any other message is its excess over it.
 """
 
 from dataclasses import dataclass
 
-FORGET_S = 10.0
-"""How long the soonest message of a node is remembered, and up to twice that; a node
-that was suspended sends by another time from then on."""
-SHARE = 1 / 32
-"""Weight of one message in the mean."""
-LONGEST_S = 1.0
-"""A longer delay counts as this: it comes from a clock, or nobody can place well."""
-CLOCK_MS = 1 << 31
-"""Times are sent in milliseconds modulo this, 25 days."""
+WINDOW_S = 10.0
+"""A node's smallest difference is kept for this time, or for up to twice as long. It
+has to expire, since the clock offset of a node changes when the node is suspended."""
+SMOOTHING = 1 / 32
+"""Weight of one message in the exponential moving average."""
+MAX_DELAY_S = 1.0
+"""Longer delays are counted as this. They come from a change of clock offset, or are so
+long that no node can place requests well."""
+SENT_MODULUS_MS = 1 << 31
+"""Send times are in milliseconds modulo this, which is 25 days."""
 
 
 def make_sent_ms(now_s):
-    """Return a time as messages carry it."""
-    return int(now_s * 1e3) % CLOCK_MS
+    """Return a time in the form of ``Started.sent_ms``."""
+    return int(now_s * 1e3) % SENT_MODULUS_MS
 
 
 @dataclass
-class _Soonest:
-    """The shortest time from a node's clock to this one's, of two spans of time."""
+class _TransitMinimum:
+    """Smallest difference between arrival and send time, over two windows.
+
+    Parameters
+    ----------
+    since_s : float
+        Start of the current window.
+    current_ms, previous_ms : float
+        Minimum in the current window and in the one before.
+    """
 
     since_s: float
-    newer_ms: float
-    older_ms: float
+    current_ms: float
+    previous_ms: float
 
 
 class Delays:
-    """The delays of what other nodes tell."""
+    """Estimator of the mean delay of other nodes' messages."""
 
     def __init__(self):
-        self._soonest: dict[str, _Soonest] = {}
+        self._minimums: dict[str, _TransitMinimum] = {}
         self._mean_s = 0.0
 
     def note(self, node, sent_ms, *, now_s):
-        """Take in when a message was sent and that it came now."""
+        """Record a message that was sent at ``sent_ms`` and arrived at ``now_s``."""
         took_ms = now_s * 1e3 - sent_ms
-        found = self._soonest.get(node)
+        found = self._minimums.get(node)
         if found is None:
-            self._soonest[node] = _Soonest(now_s, took_ms, took_ms)
+            self._minimums[node] = _TransitMinimum(now_s, took_ms, took_ms)
             return
-        if now_s - found.since_s > FORGET_S:
-            found.since_s, found.older_ms = now_s, found.newer_ms
-            found.newer_ms = took_ms
-        found.newer_ms = min(found.newer_ms, took_ms)
-        delay_s = (took_ms - min(found.newer_ms, found.older_ms)) / 1e3
-        self._mean_s += SHARE * (min(LONGEST_S, delay_s) - self._mean_s)
+        if now_s - found.since_s > WINDOW_S:
+            found.since_s, found.previous_ms = now_s, found.current_ms
+            found.current_ms = took_ms
+        found.current_ms = min(found.current_ms, took_ms)
+        delay_s = (took_ms - min(found.current_ms, found.previous_ms)) / 1e3
+        self._mean_s += SMOOTHING * (min(MAX_DELAY_S, delay_s) - self._mean_s)
 
     def mean_s(self):
-        """Return by how much messages are later than the soonest ones, on average."""
+        """Return the moving average of the delay, in seconds."""
         return self._mean_s
 
     def forget(self, living):
-        """Drop what is known of nodes that are gone."""
-        for node in set(self._soonest) - set(living):
-            del self._soonest[node]
+        """Drop the state of nodes that are not in ``living``."""
+        for node in set(self._minimums) - set(living):
+            del self._minimums[node]
--- a/lycheetide/board/_messages.py
+++ b/lycheetide/board/_messages.py
@@ -1,24 +1,24 @@
-"""The datagrams between nodes."""
+"""Datagrams between nodes."""
 
 import msgspec
 
-LARGEST_BYTES = 1_400
-"""Fits one Ethernet frame, so a datagram is whole or lost."""
+MAX_DATAGRAM_BYTES = 1_400
+"""Fits one Ethernet frame, so that a datagram arrives whole or not at all."""
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
-    """The part of one request that one replica does.
+    """The part of a job that one replica does.
 
     Parameters
     ----------
     replica : str
-        Which.
+        Id of the replica.
     read_s : float
-        Its reading at full speed.
+        Duration of its prefill, at full speed.
     kv_tokens : int
-        Memory that the request takes there.
+        Size of the KV cache that the job takes there, in tokens.
     writes : bool
-        Whether it writes the answer.
+        Whether this replica writes the answer; if not, it only helps with the prompt.
     """
 
     replica: str
@@ -30,27 +30,26 @@
 class Started(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """A node has sent a request.
 
-    Times are whole milliseconds, since a number with a fraction takes three times the
-    bytes, and all nodes are told of every request.
+    Times are whole milliseconds: a fractional number takes three times the bytes, and
+    every request is announced to all nodes.
 
     Parameters
     ----------
     node, job : str
-        Who, and its name for this attempt.
+        Node that sent the request, and its id for this attempt.
     parts : tuple of Part
-        What it costs where.
+        Cost of the job at each replica involved.
     lasts_ms : int
-        When it has surely ended, from now.
+        Time from now by which it has certainly ended.
     due_in_ms : int
-        When its first event is wanted, from now; below 0 where it is late.
+        Time from now to the target time of its first event; below 0 if that is past.
     gap_ms : int
-        The longest pause between two events that its caller doesn't notice; 0 where
-        there is none.
+        Longest gap between two events that its caller doesn't notice; 0 where there
+        is none.
     weight_hundredths : int
-        How many short requests it counts as, times a hundred.
+        Weight of the job, in hundredths of a short request.
     sent_ms : int
-        When it was sent, by the sender's clock, as ``make_sent_ms`` tells; below 0
-        where it isn't told.
+        Send time on the sender's clock, from ``make_sent_ms``; below 0 if not given.
     """
 
     node: str
@@ -64,37 +63,38 @@
 
 
 class Ended(msgspec.Struct, frozen=True, array_like=True, tag="e"):
-    """A request has ended, whatever came of it."""
+    """A job has ended, with whatever outcome, or a request no longer waits."""
 
     node: str
     job: str
 
 
 class Suspected(msgspec.Struct, frozen=True, array_like=True, tag="x"):
-    """A node has waited in vain for a replica, or had a connection refused."""
+    """A replica did not answer a node in time, or refused its connection."""
 
     node: str
     replica: str
 
 
 class Doubted(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """A replica has broken an answer off."""
+    """A replica has broken off an answer."""
 
     node: str
     replica: str
 
 
 class Wants(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """A request waits for memory of several replicas; told again while it does.
+    """A request waits for memory of several replicas; repeated for as long as it waits.
 
     Parameters
     ----------
     node, job : str
-        Whose it is, and its name there; its end is told as any other's.
+        Node that the request waits at, and the id of the entry within that node. The
+        end of the wait is announced by ``Ended``.
     number : int
-        Its place in the order.
+        Its number in the queue.
     tokens : int
-        What it wants.
+        Size of the KV cache that it needs, in tokens.
     """
 
     node: str
@@ -104,49 +104,52 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """A node is alive.
+    """Greeting of a node: a heartbeat with the sender's state.
 
     Parameters
     ----------
     fleet : str
-        The store that it reads: nodes of other fleets aren't peers, though they may
-        have got the address of one that is gone.
+        Address of the store that the sender reads. Nodes of other fleets aren't peers;
+        one of them may have been given the address of a former peer.
     node : str
-        Its name and start, never used twice.
+        Name of the sender, with its start, so that it is never used twice.
     address : str
-        Where it takes datagrams and calls of peers.
+        Address at which it takes datagrams and calls of peers.
     failure_domain : str
-        Where it stands.
+        Failure domain in which it runs.
     operator_offset, registry_offset : int
-        How much it knows of what operators and replicas wrote; -1 for nothing.
+        Offset up to which it has read the records of operators and of replicas; -1
+        for none.
     registry_age_s : float
-        How old its knowledge of the registry is.
+        Age of its copy of the registry.
     registry_digest : int
-        The same at nodes that know the same replicas.
+        Digest of the replicas it knows; equal on nodes that know the same ones.
     returned_age_s : float
-        How long ago the registry was back after an outage for all; below 0 for never.
+        Time since the registry came back after an outage for all nodes; below 0 if
+        there was none.
     heard : tuple of str
-        Replicas that it had answers from since its last hello.
+        Replicas that answered it within the last second; as many as fit.
     wants_reply : bool
-        Whether it knows few peers and asks for theirs.
+        Whether it knows no living peers and asks the receiver for the addresses it
+        knows.
     is_leaving : bool
         Whether it is about to stop.
     peers : tuple of str
         Addresses of other nodes, in a reply.
     living : tuple of int
-        Nodes that the sender heard itself just now, by ``order_node``; only the nodes
-        that gather messages for a large fleet fill it in.
+        Nodes that the sender itself heard from just now, by ``order_node``. Only hubs,
+        the nodes that bundle messages in a large fleet, fill it in.
     jobs : tuple of str or None
-        All that the sender has in flight; None where that wouldn't fit.
+        Ids of all jobs that the sender has in flight; None where they wouldn't fit.
     link_mbps : int
-        How wide its link is, in Mbit/s; 0 where it isn't told.
+        Bandwidth of its network link, in Mbit/s; 0 if unknown.
     reads_store : bool
-        Whether the store served it when it last asked.
+        Whether its last request to the store succeeded.
 
     Notes
     -----
-    New fields come last and have a default, so that a node of an older or a newer
-    version reads the others.
+    New fields come last and have a default, so that nodes of older and newer versions
+    can read the other fields.
     """
 
     fleet: str
@@ -169,16 +172,17 @@
 
 
 class Changed(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """A node has read of replicas that changed.
+    """A node has read changes of the replica registry.
 
     Parameters
     ----------
     node : str
-        Who read it.
+        Node that read them.
     records : tuple of (int, str, bytes or None)
-        Offset, replica and what it wrote; None where its entry is gone.
+        Offset, replica id and entry of each; None for an entry that was removed.
     returned_age_s : float
-        How long ago the registry was back after an outage for all; below 0 for never.
+        Time since the registry came back after an outage for all nodes; below 0 if
+        there was none.
     """
 
     node: str
@@ -187,16 +191,16 @@
 
 
 class Bundle(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """What several nodes tell, in one datagram.
+    """Messages of one or more nodes in one datagram.
 
     Parameters
     ----------
     node : str
-        Who sends it, which need not be who says it.
+        Node that sends the bundle; the messages may come from others.
     messages : tuple of Started, Ended, Suspected, Doubted or Wants
-        What is told.
+        The messages.
     spreads : bool
-        Whether the receiver is to pass it on within its failure domain.
+        Whether the receiver has to forward them within its failure domain.
     """
 
     node: str
@@ -211,16 +215,16 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a datagram."""
+    """Return the datagram of a message."""
     return _encoder.encode(message)
 
 
 def decode_message(data: bytes) -> Message:
-    """Return what a datagram says.
+    """Return the message in a datagram.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it is none of ours.
+        If it is not a valid message.
     """
     return _decoder.decode(data)
--- a/lycheetide/board/_peers.py
+++ b/lycheetide/board/_peers.py
@@ -1,20 +1,21 @@
-"""The other nodes, as far as they were heard from."""
+"""Table of the other nodes, with the state that each last reported."""
 
 from dataclasses import dataclass
 
 import xxhash
 
-SILENT_S = 3.0
-"""A peer that said nothing for so long is left out of shares and messages' targets."""
-FORGET_S = 30.0
-"""A peer that said nothing for so long is no longer greeted."""
-VOUCHED_AGE_S = 0.5
-"""How old a peer's word is that another one was heard: somewhat more than the pause
-between two greetings to it."""
+PEER_TIMEOUT_S = 3.0
+"""A peer silent for this long counts as dead: it gets no messages, and no share of what
+the nodes divide among themselves."""
+PEER_RETENTION_S = 30.0
+"""A peer silent for this long is no longer greeted and is dropped from the table."""
+INDIRECT_REPORT_AGE_S = 0.5
+"""Age assumed for a peer's report that it heard from another node: slightly more than
+the interval between that node's greetings to it."""
 
 
 def order_node(node):
-    """Return a node's place in an order that changes with each start of it."""
+    """Return a hash that orders nodes; it changes with each start of a node."""
     return xxhash.xxh32_intdigest(node.encode())
 
 
@@ -25,25 +26,25 @@
     Parameters
     ----------
     node : str
-        Its name and start; empty until it was heard from.
+        Name of the node, with its start; empty until it was heard from.
     address : str
-        Where it takes datagrams and calls.
+        Address at which it takes datagrams and calls.
     failure_domain : str
-        Where it stands.
+        Failure domain in which it runs.
     heard_s : float
-        When it was last heard.
+        Time of its last greeting.
     operator_offset, registry_offset : int
-        What it knew then.
+        Offsets that this greeting gave.
     registry_read_s : float
-        When its knowledge of the registry was fresh, on this node's clock.
+        Time at which its copy of the registry was up to date, on this node's clock.
     is_leaving : bool
         Whether it is about to stop.
     order : int
-        Its place among the nodes.
+        Hash that orders the nodes, from ``order_node``.
     link_mbps : int
-        How wide its link is, in Mbit/s; 0 where it isn't known.
+        Bandwidth of its network link, in Mbit/s; 0 if unknown.
     reads_store : bool
-        Whether the store served it when it last asked.
+        Whether its last request to the store succeeded.
     """
 
     node: str
@@ -60,24 +61,25 @@
 
     @property
     def place(self):
-        """Orders nodes by who works for others first: the widest link, then by hash."""
+        """Sort key for the choice of hubs: fastest network link first, then by hash."""
         return -self.link_mbps, self.order
 
 
 class Peers:
-    """The peers by address.
+    """Table of peers by address.
 
     Parameters
     ----------
     own_address : str
-        This node's own, which is never a peer.
+        Address of this node, which is never a peer.
     fleet : str
-        The store that this node reads; nodes that read another are no peers.
+        Address of the store that this node reads; nodes that read another store are
+        not peers.
 
     Attributes
     ----------
     grown_s : float
-        When a new one was last heard.
+        Time of the last first greeting of a node.
     """
 
     def __init__(self, own_address, *, fleet=""):
@@ -85,24 +87,24 @@
         self.fleet = fleet
         self.peers: dict[str, Peer] = {}
         self.grown_s = float("-inf")
-        self._greeted_s: dict[str, float] = {}
-        self._vouched_s: dict[int, float] = {}
-        self._names: set[str] = set()
-        self._gone_s: dict[str, float] = {}
+        self._added_s: dict[str, float] = {}
+        self._indirectly_heard_s: dict[int, float] = {}
+        self._known_nodes: set[str] = set()
+        self._gone_since_s: dict[str, float] = {}
 
     def learn(self, address, *, now_s):
-        """Note an address where a node may be."""
+        """Add an address at which a node may run."""
         if address == self.own_address or address in self.peers:
             return
         self.peers[address] = Peer("", address)
-        self._greeted_s[address] = now_s
+        self._added_s[address] = now_s
 
     def is_peer(self, node):
-        """Tell whether a node has greeted this one."""
-        return node in self._names
+        """Return whether a node has greeted this one."""
+        return node in self._known_nodes
 
     def hear(self, hello, *, now_s):
-        """Note a peer's greeting; tell whether it is a new start of a node."""
+        """Record a peer's greeting; return whether it is the first of this start."""
         known = self.peers.get(hello.address) or Peer("", hello.address)
         is_new = known.node != hello.node
         self.peers[hello.address] = Peer(
@@ -121,58 +123,64 @@
         if is_new:
             self.grown_s = now_s
             if known.node:
-                self._gone_s[known.node] = now_s
-            self._names.discard(known.node)
-            self._names.add(hello.node)
+                self._gone_since_s[known.node] = now_s
+            self._known_nodes.discard(known.node)
+            self._known_nodes.add(hello.node)
         return is_new
 
     def vouch(self, orders, *, now_s):
-        """Note that a peer has heard others just now, which greet this node rarely.
+        """Record that a peer has just heard from nodes that rarely greet this one.
 
-        Only what a peer heard itself may be given here: nodes that passed on one
-        another's word would keep a dead one alive for ever.
+        Only nodes that the peer heard from directly may be given here. If indirect
+        reports were reported on, nodes would keep a dead one alive for ever.
         """
         for order in orders:
-            self._vouched_s[order] = now_s - VOUCHED_AGE_S
+            self._indirectly_heard_s[order] = now_s - INDIRECT_REPORT_AGE_S
 
-    def alive(self, *, now_s, within_s=SILENT_S):
-        """Return the peers that were heard lately, by this node or by one it trusts."""
-        vouched_s = self._vouched_s
+    def alive(self, *, now_s, within_s=PEER_TIMEOUT_S):
+        """Return the peers that this node or a peer of it heard from recently."""
+        indirectly_heard_s = self._indirectly_heard_s
         return [
             peer
             for peer in self.peers.values()
             if now_s - peer.heard_s < within_s
-            or (peer.node and now_s - vouched_s.get(peer.order, -1e9) < within_s)
+            or (
+                peer.node
+                and now_s - indirectly_heard_s.get(peer.order, -1e9) < within_s
+            )
         ]
 
     def list_dead(self, *, now_s):
-        """Return the names of the peers that were heard once, and not lately.
+        """Return the names of the peers that were heard from once, but not recently.
 
-        A node that has started anew at its address is another one; the old one is dead.
+        A node that has restarted at its address counts as a new one, and its previous
+        start as dead.
         """
         living = {peer.node for peer in self.alive(now_s=now_s)}
-        self._gone_s = {
-            node: at_s for node, at_s in self._gone_s.items() if now_s - at_s < FORGET_S
+        self._gone_since_s = {
+            node: at_s
+            for node, at_s in self._gone_since_s.items()
+            if now_s - at_s < PEER_RETENTION_S
         }
-        return (self._names - living).union(self._gone_s)
+        return (self._known_nodes - living).union(self._gone_since_s)
 
     def list_unheard(self):
-        """Return the addresses where a node may be that was never heard."""
+        """Return the addresses at which no node has been heard from yet."""
         return [peer.address for peer in self.peers.values() if not peer.node]
 
     def heard_directly(self, *, now_s, within_s):
-        """Return the peers that this node itself heard lately."""
+        """Return the peers that this node itself heard from recently."""
         return [peer for peer in self.peers.values() if now_s - peer.heard_s < within_s]
 
     def targets(self, *, now_s):
-        """Return the addresses to greet: peers that live or may come back."""
+        """Return the addresses to greet: peers that are alive or may come back."""
         for address, peer in list(self.peers.items()):
-            since_s = max(peer.heard_s, self._greeted_s.get(address, now_s))
-            if now_s - since_s > FORGET_S:
+            since_s = max(peer.heard_s, self._added_s.get(address, now_s))
+            if now_s - since_s > PEER_RETENTION_S:
                 del self.peers[address]
-                self._greeted_s.pop(address, None)
-                self._vouched_s.pop(peer.order, None)
-                self._names.discard(peer.node)
+                self._added_s.pop(address, None)
+                self._indirectly_heard_s.pop(peer.order, None)
+                self._known_nodes.discard(peer.node)
                 if peer.node:
-                    self._gone_s[peer.node] = now_s
+                    self._gone_since_s[peer.node] = now_s
         return list(self.peers)
--- a/lycheetide/board/_queue.py
+++ b/lycheetide/board/_queue.py
@@ -1,14 +1,15 @@
-"""Who waits for memory of several replicas, in an order that all nodes agree on.
+"""Queue of the requests that wait for memory of several replicas, shared by all nodes.
 
-Whoever begins to wait takes a number above all that it knows of, so those that wait
-longer come first everywhere, whatever clocks say; of two with one number the name
-decides. Nothing is held while waiting: an entry that isn't renewed is soon forgotten.
+A request that starts to wait gets a number above all that its node knows of, as in a
+Lamport clock. So requests that have waited longer come first on all nodes, whatever
+their clocks say; ties are broken by the names of the node and the job. A waiting
+request holds no memory, and an entry that isn't renewed soon expires.
 """
 
 from dataclasses import dataclass
 
-KEPT_S = 1.2
-"""How long an entry counts without being renewed; three renewals may be lost."""
+ENTRY_LIFETIME_S = 1.2
+"""Lifetime of an entry that isn't renewed; three renewals may be lost."""
 
 
 @dataclass(frozen=True)
@@ -18,11 +19,11 @@
     Parameters
     ----------
     number : int
-        Its place in the order.
+        Its number in the queue; lower ones come first.
     node, job : str
-        Whose it is, and its name there.
+        Node that the request waits at, and the id of the entry within that node.
     tokens : int
-        What it wants.
+        Size of the KV cache that it needs, in tokens.
     """
 
     number: int
@@ -32,44 +33,44 @@
 
     @property
     def order(self):
-        """Orders all that wait; the same at all nodes."""
+        """Sort key of the queue, the same on all nodes."""
         return self.number, self.node, self.job
 
 
 class MemoryQueue:
-    """All that wait for memory, as far as this node knows."""
+    """All requests that wait for memory, as far as this node knows."""
 
     def __init__(self):
         self._waiting: dict[tuple[str, str], tuple[Waiting, float]] = {}
         self._last = 0
 
     def take_number(self):
-        """Return the number of a request that begins to wait."""
+        """Return the number for a request that starts to wait."""
         return self._last + 1
 
     def note(self, waiting, *, now_s):
-        """Note that a request waits, or goes on to."""
+        """Add a waiting request, or renew its entry."""
         self._last = max(self._last, waiting.number)
         self._waiting[waiting.node, waiting.job] = (waiting, now_s)
 
     def drop(self, node, job):
-        """Note that a request waits no longer."""
+        """Remove a request that no longer waits."""
         self._waiting.pop((node, job), None)
 
     def list_ahead(self, waiting, *, now_s):
-        """Return those that come before a request, or all for one without a number.
+        """Return the requests ahead of one, or all for a request that has no entry.
 
         Parameters
         ----------
         waiting : Waiting or None
-            The request.
+            The request; None where it has not started to wait.
         now_s : float
-            The present time.
+            Current time.
         """
         for key, (_, at_s) in list(self._waiting.items()):
-            if now_s - at_s > KEPT_S:
+            if now_s - at_s > ENTRY_LIFETIME_S:
                 del self._waiting[key]
-        everyone = [one for one, _ in self._waiting.values()]
+        queued = [waiter for waiter, _ in self._waiting.values()]
         if waiting is None:
-            return everyone
-        return [one for one in everyone if one.order < waiting.order]
+            return queued
+        return [waiter for waiter in queued if waiter.order < waiting.order]
--- a/lycheetide/board/_trust.py
+++ b/lycheetide/board/_trust.py
@@ -1,169 +1,173 @@
-"""What is believed of each replica, and on what evidence.
+"""Failure detector for replicas, from a node's own evidence and the reports of peers.
 
-A node's own answers from a replica weigh most. The word of peers says that it lives,
-but not that it lives now. A refused connection and a silence speak against it at once,
-and answers that broke off do where several of one failure domain come together.
+An answer to the node itself is the strongest evidence that a replica is alive. A report
+of a peer shows that it was alive recently, but not that it is now. A refused connection
+or a timeout makes a replica suspect at once. An answer that broke off weighs less; it
+counts against a replica when several of one failure domain fail together.
 """
 
 from dataclasses import dataclass, replace
 
-from lycheetide.board._board import FORGET_S
+from lycheetide.board._board import REPLICA_RETENTION_S
 
 NEVER_S = float("-inf")
 SUSPECT_S = 3.0
-"""How long a replica that was silent is left alone; doubles up to the next constant."""
-LONGEST_SUSPECT_S = 12.0
+"""How long a suspect replica is avoided; doubles each time, up to ``MAX_SUSPECT_S``."""
+MAX_SUSPECT_S = 12.0
 RECOVERING_S = 15.0
-"""How long a silent replica stays the second choice unless it answers."""
-TOLD_AGE_S = 1.3
-"""How old a peer's word may be that a replica answered: peers name those that they
-heard within a second, and greet each 0.3 s."""
-MOST_DOUBLINGS = 4
+"""How long after the last failure of a suspect other replicas are preferred to it,
+unless it answers."""
+PEER_REPORT_AGE_S = 1.3
+"""Greatest age of a peer's report that a replica answered: peers report the replicas
+that they heard from within a second, and send a greeting every 0.3 s."""
+MAX_PERIODS = 4
 DOUBT_S = 0.5
-"""How long a replica that broke an answer off is the second choice, unless it answers.
-Replicas that die together are found one by one; those that only lost one connection
-are heard again within this time."""
+"""How long other replicas are preferred to one that broke off an answer, unless it
+answers. Replicas that die together are found out one by one. One that only lost a
+connection is heard from again within this time."""
 
 
 @dataclass(frozen=True)
 class Suspicion:
-    """What speaks against a replica.
+    """Evidence against a replica that did not answer.
 
     Parameters
     ----------
     since_s : float
-        When it was first waited for in vain; it is left alone from then on.
+        Start of the period in which the replica is avoided: its first failure.
     last_s : float
-        When it last was.
-    times : int
-        How often it was so after it had been left alone.
+        Time of its last failure.
+    periods : int
+        Number of such periods so far, at most ``MAX_PERIODS``. A failure within a
+        period starts no new one.
     """
 
     since_s: float
     last_s: float
-    times: int
+    periods: int
 
     @property
     def ends_s(self):
-        """From when on it may be tried again."""
-        doubled_s = SUSPECT_S * 2 ** (self.times - 1)
-        return self.since_s + min(doubled_s, LONGEST_SUSPECT_S)
+        """End of the period, from which on the replica may be tried again."""
+        doubled_s = SUSPECT_S * 2 ** (self.periods - 1)
+        return self.since_s + min(doubled_s, MAX_SUSPECT_S)
 
 
 class Trust:
-    """The evidence for and against each replica, as far as this node has it."""
+    """Failure detector: evidence for and against each replica."""
 
     def __init__(self):
         self._answered_s: dict[str, float] = {}
-        self._told_s: dict[str, float] = {}
-        self._troubled_s: dict[str, float] = {}
-        self._suspects: dict[str, Suspicion] = {}
+        self._reported_s: dict[str, float] = {}
+        self._failed_s: dict[str, float] = {}
+        self._suspicions: dict[str, Suspicion] = {}
 
     def hear(self, replica, *, now_s):
-        """Note an answer of a replica to this node."""
+        """Record an answer of a replica to this node, which ends any suspicion."""
         self._answered_s[replica] = now_s
-        self._suspects.pop(replica, None)
+        self._suspicions.pop(replica, None)
 
     def hear_of(self, replica, *, now_s):
-        """Note that a peer had an answer of a replica lately.
+        """Record a peer's report that a replica answered it recently.
 
-        A replica that has just refused a connection was heard by some peer a moment
-        before. If that word ended the suspicion, every request would try the replica
-        again until the peers fall silent on it.
+        The report ends a suspicion only if it is certainly newer than the last failure.
+        A replica that has just refused a connection did answer some peer a moment
+        before. If that report ended the suspicion, every request would try the replica
+        again until the peers stop reporting it.
         """
-        self._told_s[replica] = now_s
-        found = self._suspects.get(replica)
-        if found is not None and now_s - found.last_s > TOLD_AGE_S:
-            del self._suspects[replica]
+        self._reported_s[replica] = now_s
+        found = self._suspicions.get(replica)
+        if found is not None and now_s - found.last_s > PEER_REPORT_AGE_S:
+            del self._suspicions[replica]
 
     def doubt(self, replica, *, now_s):
-        """Note that a replica broke an answer off, which alone proves little.
+        """Record that a replica broke off an answer, which alone is weak evidence.
 
         Returns
         -------
         bool
-            Whether it wasn't in doubt already.
+            Whether the replica was not in doubt before.
         """
         is_new = not self.is_doubted(replica, now_s=now_s)
-        self._troubled_s[replica] = now_s
+        self._failed_s[replica] = now_s
         return is_new
 
     def suspect(self, replica, *, now_s):
-        """Note that a replica was waited for in vain, or refused a connection.
+        """Record that a replica timed out or refused a connection.
 
-        All who wait for it meet the same silence, which is one piece of evidence. Each
-        of them counted, a replica that read one long prompt would be left alone four
-        times as long.
+        All requests that wait for the replica time out together, which is one piece of
+        evidence. If each of them counted, a replica that was busy reading one long
+        prompt would be avoided four times as long.
 
         Returns
         -------
         bool
-            Whether it wasn't being left alone already.
+            Whether the replica was not avoided before.
         """
-        self._troubled_s[replica] = now_s
-        found = self._suspects.get(replica)
+        self._failed_s[replica] = now_s
+        found = self._suspicions.get(replica)
         is_new = found is None or now_s >= found.ends_s
         if found is None:
-            self._suspects[replica] = Suspicion(now_s, now_s, 1)
+            self._suspicions[replica] = Suspicion(now_s, now_s, 1)
         elif is_new:
-            times = min(found.times + 1, MOST_DOUBLINGS)
-            self._suspects[replica] = Suspicion(now_s, now_s, times)
+            periods = min(found.periods + 1, MAX_PERIODS)
+            self._suspicions[replica] = Suspicion(now_s, now_s, periods)
         else:
-            self._suspects[replica] = replace(found, last_s=now_s)
+            self._suspicions[replica] = replace(found, last_s=now_s)
         return is_new
 
     def answered_s(self, replica):
-        """Return when a replica last answered this node."""
+        """Return the time of a replica's last answer to this node."""
         return self._answered_s.get(replica, NEVER_S)
 
     def heard_s(self, replica):
-        """Return when a replica was last known to live, also by a peer's word."""
-        return max(self.answered_s(replica), self._told_s.get(replica, NEVER_S))
+        """Return when a replica was last known to be alive, also through peers."""
+        return max(self.answered_s(replica), self._reported_s.get(replica, NEVER_S))
 
     def troubled_s(self, replica):
-        """Return when a replica last failed this node, or a peer that told of it."""
-        return self._troubled_s.get(replica, NEVER_S)
+        """Return the time of a replica's last failure that is known here."""
+        return self._failed_s.get(replica, NEVER_S)
 
     def list_answered(self, *, since_s):
-        """Return the replicas that answered this node itself lately.
+        """Return the replicas that answered this node itself after a time.
 
-        Only these may be told to peers. Nodes that passed on one another's word would
-        keep a dead replica alive for ever.
+        Only these may be reported to peers. If nodes reported on what others reported
+        to them, they would keep a dead replica alive for ever.
         """
         return [name for name, at_s in self._answered_s.items() if at_s > since_s]
 
     def is_suspect(self, replica, *, now_s):
-        """Tell whether a replica should be left alone for now."""
-        found = self._suspects.get(replica)
+        """Return whether a replica should be avoided for now."""
+        found = self._suspicions.get(replica)
         return found is not None and now_s < found.ends_s
 
     def is_doubted(self, replica, *, now_s):
-        """Tell whether a replica failed a moment ago and hasn't answered since."""
+        """Return whether a replica failed a moment ago and hasn't answered since."""
         troubled_s = self.troubled_s(replica)
         return now_s - troubled_s < DOUBT_S and self.answered_s(replica) < troubled_s
 
     def is_recovering(self, replica, *, now_s):
-        """Tell whether a replica is the second choice, for what it did lately."""
+        """Return whether a replica failed so recently that others are preferred."""
         if self.is_doubted(replica, now_s=now_s):
             return True
-        found = self._suspects.get(replica)
+        found = self._suspicions.get(replica)
         return found is not None and now_s - found.last_s < RECOVERING_S
 
     def forget(self, present, *, now_s):
-        """Drop what is known of replicas that are gone and of which nothing is heard.
+        """Drop the evidence of removed replicas that were not heard of recently.
 
         Parameters
         ----------
         present : collection of str
-            Replicas that aren't gone.
+            Replicas that still exist.
         now_s : float
-            The present time.
+            Current time.
         """
-        known = {*self._answered_s, *self._told_s, *self._troubled_s}
+        known = {*self._answered_s, *self._reported_s, *self._failed_s}
         for replica in known - set(present):
             last_s = max(self.heard_s(replica), self.troubled_s(replica))
-            if now_s - last_s > FORGET_S:
+            if now_s - last_s > REPLICA_RETENTION_S:
                 self._answered_s.pop(replica, None)
-                self._told_s.pop(replica, None)
-                self._troubled_s.pop(replica, None)
-                self._suspects.pop(replica, None)
+                self._reported_s.pop(replica, None)
+                self._failed_s.pop(replica, None)
+                self._suspicions.pop(replica, None)
--- a/lycheetide/board/tests/test_board.py
+++ b/lycheetide/board/tests/test_board.py
@@ -1,4 +1,4 @@
-"""What a node believes of the others' work when messages are lost or nodes die."""
+"""A node's view of the cluster when messages are lost and nodes or replicas die."""
 
 import dataclasses
 
@@ -29,8 +29,8 @@
     return board
 
 
-def make_job(name="j", node="n", *, read_s=0.02, ends_by_s=10.0, writes=True):
-    return Job(name, node, (Part("r", read_s, 100, writes),), 0.0, ends_by_s)
+def make_job(name="j", node="n", *, read_s=0.02, expires_s=10.0, writes=True):
+    return Job(name, node, (Part("r", read_s, 100, writes),), 0.0, expires_s)
 
 
 def test_reading_queues_up_and_is_worked_off():
@@ -50,9 +50,10 @@
 
 
 def test_a_start_that_arrives_after_its_end_counts_nothing():
-    """Two nodes pass messages on for a moment, one of them late.
+    """Two hubs forward messages for a moment, one of them late.
 
-    The replica would look busy until the request's deadline.
+    If the late start were counted, the replica would look busy until the request's
+    deadline.
     """
     board = make_board(make_job())
     board.end("n", "j", now_s=0.1)
@@ -62,16 +63,16 @@
     board.start(make_job("early"), now_s=0.4)
     assert board.jobs == {}
     board.expire(now_s=9.0)
-    board.start(make_job("later", ends_by_s=20.0), now_s=9.0)
+    board.start(make_job("later", expires_s=20.0), now_s=9.0)
     assert set(board.jobs) == {("n", "later")}
 
 
 def test_work_whose_end_was_never_told_is_forgotten():
-    """The datagram with the end is lost, or its node has died.
+    """The ``Ended`` datagram of a job is lost, or the node of the job has died.
 
-    A replica would look busy for ever and get no work.
+    If such jobs never expired, their replica would look busy for ever and get no work.
     """
-    board = make_board(make_job("a", ends_by_s=5.0), make_job("b", "dead"))
+    board = make_board(make_job("a", expires_s=5.0), make_job("b", "dead"))
     board.expire(now_s=1.0, dead={"dead"})
     assert set(board.jobs) == {("n", "a")}
     board.expire(now_s=5.0, dead={"dead"})
@@ -79,10 +80,10 @@
 
 
 def test_work_of_a_node_that_is_not_known_yet_counts():
-    """A large fleet has started, and a node hears of some others only by a hub.
+    """A large fleet has started, and a node knows of some others only through a hub.
 
-    Their first greetings were lost. It took them for dead and forgot each of their
-    prompts within half a second, so replicas with seven prompts looked as if with two.
+    Their first greetings were lost. The node took them for dead and dropped each of
+    their jobs within half a second, so replicas with seven prompts seemed to have two.
     """
     peers = Peers("10.0.0.1:7")
     peers.hear(make_greeting("silent", "10.0.0.2:7"), now_s=0.0)
@@ -101,11 +102,11 @@
 
 
 def test_what_was_not_read_of_a_request_that_ended_is_no_backlog():
-    """A failure domain goes dark, and prompts are tried at one replica after the other.
+    """A failure domain is lost, and prompts are tried at one replica after another.
 
-    Each try had told of parts at the replicas that live. Left in their sums, these made
-    an idle fleet look busy for seconds, and short prompts were refused for want of
-    room.
+    Each attempt announced parts at living replicas. While these parts still counted
+    after the attempt, an idle fleet looked busy for seconds, and short prompts were
+    refused for lack of capacity.
     """
     board = make_board(make_job("short", read_s=0.02))
     for number in range(5):
@@ -123,10 +124,10 @@
     assert board.backlog_s("r", now_s=0.2) == 0.0
 
 
-def test_a_part_of_anothers_prompt_is_read_before_what_waits():
-    """A replica reads the newest part first.
+def test_a_helper_part_is_read_before_waiting_prompts():
+    """A replica reads the newest helper part first.
 
-    A prompt that waits there is read later by it, and has less time left to be late.
+    A prompt that waits there is delayed by it, and has less slack to its target.
     """
     board = make_board(make_job("own", read_s=0.5))
     part = make_job("part", read_s=0.3, writes=False)
@@ -137,7 +138,7 @@
     assert [one.by_s for one in board.unread("r", now_s=0.5)] == pytest.approx([0.8])
 
 
-def test_writers_are_counted_by_the_pauses_that_they_bear():
+def test_writers_are_weighted_by_their_gap_limits():
     job = make_job("a")
     board = make_board(
         dataclasses.replace(job, gap_s=0.2, weight=1.5),
@@ -161,14 +162,15 @@
     assert not trust.is_recovering("r", now_s=13.0)
 
 
-def test_streams_that_one_silence_meets_count_it_once():
-    """Four streams meet one silence, and their replica is left alone for 12 s.
+def test_streams_that_time_out_together_count_once():
+    """Four streams time out together, and their replica was avoided for 12 s.
 
-    It had read a long prompt and went on after a second; nothing else was wrong.
+    It was busy reading a long prompt and went on after a second; nothing else was
+    wrong. Timeouts within one period of suspicion must not lengthen it.
     """
     trust = Trust()
-    news = [trust.suspect("r", now_s=0.1 * place) for place in range(4)]
-    assert news == [True, False, False, False]
+    are_new = [trust.suspect("r", now_s=0.1 * place) for place in range(4)]
+    assert are_new == [True, False, False, False]
     assert trust.is_suspect("r", now_s=2.9)
     assert not trust.is_suspect("r", now_s=3.1)
     assert trust.suspect("r", now_s=3.2)
@@ -176,8 +178,11 @@
     assert not trust.is_suspect("r", now_s=9.3)
 
 
-def test_a_word_older_than_the_last_evidence_does_not_end_a_suspicion():
-    """A silent replica dies a moment later, and a peer's word of between frees it."""
+def test_a_report_older_than_the_last_failure_does_not_end_a_suspicion():
+    """A replica times out and dies a moment later.
+
+    A peer's report of an answer between the two must not end the suspicion.
+    """
     trust = Trust()
     trust.suspect("r", now_s=0.0)
     trust.suspect("r", now_s=2.2)
@@ -186,9 +191,10 @@
 
 
 def test_a_replica_that_broke_off_is_the_second_choice_until_it_answers():
-    """Nine replicas die together, and streams move from one of them to the next.
+    """Nine replicas die together, and streams moved from one dead replica to the next.
 
-    One that only lost a connection answers another request and is as good as before.
+    So a replica that broke off an answer ranks after the others. One that only lost a
+    connection answers another request and is then as good as before.
     """
     trust = Trust()
     trust.hear("r", now_s=0.9)
@@ -204,11 +210,11 @@
     assert not trust.is_recovering("r", now_s=2.21)
 
 
-def test_a_peers_older_word_does_not_end_a_suspicion():
-    """A replica refuses connections, and a peer heard it within the last second.
+def test_a_peers_older_report_does_not_end_a_suspicion():
+    """A replica refuses connections, and a peer heard from it a second ago at most.
 
-    Each greeting of that peer ended the suspicion, so the dead replica was tried by
-    every request: 29 times in two seconds, and prompts ran out of attempts.
+    Each greeting of that peer ended the suspicion, so every request tried the dead
+    replica: 29 times in two seconds, and prompts ran out of attempts.
     """
     trust = Trust()
     trust.hear_of("r", now_s=0.9)
@@ -219,18 +225,18 @@
     assert not trust.is_suspect("r", now_s=2.5)
 
 
-def test_nodes_tell_only_what_they_heard_themselves():
-    """A replica is dead, and each node tells the others that it was heard lately.
+def test_nodes_report_only_what_they_heard_themselves():
+    """A replica is dead, and each node reports to the others that it answered recently.
 
-    Told on by those who had only been told, that word never grew old: streams at the
-    dead replica were waited for as if it were only busy.
+    When nodes also reported what others had reported to them, the report never became
+    old, and streams at the dead replica were waited for as if it were only busy.
     """
     nodes = [Trust(), Trust()]
     nodes[0].hear("r", now_s=0.0)
     for step in range(1, 20):
-        for teller, listener in (nodes, nodes[::-1]):
+        for sender, listener in (nodes, nodes[::-1]):
             now_s = 0.3 * step
-            for replica in teller.list_answered(since_s=now_s - 1.0):
+            for replica in sender.list_answered(since_s=now_s - 1.0):
                 listener.hear_of(replica, now_s=now_s)
     assert max(node.heard_s("r") for node in nodes) < 1.0
 
@@ -243,7 +249,7 @@
 
 
 def test_replicas_that_are_gone_are_forgotten_after_a_while():
-    """Replicas come and go for months; each left a little behind in every node."""
+    """Replicas come and go for months, and each left some state behind in all nodes."""
     board = make_board(Job("j", "n", (Part("busy", 0.1),), 0.0, 500.0))
     for name in ("gone", "here", "late"):
         board.start(Job(name, "n", (Part(name, 0.1),), 0.0, 5.0), now_s=0.0)
@@ -251,9 +257,9 @@
     board.start(Job("j2", "n", (Part("late", 0.1),), 90.0, 91.0), now_s=90.0)
     board.end("n", "j2", now_s=91.0)
     board.forget({"here"}, now_s=30.0)
-    assert "gone" in board.columns
+    assert "gone" in board.workloads
     board.forget({"here"}, now_s=100.0)
-    assert set(board.columns) == {"here", "late", "busy"}
+    assert set(board.workloads) == {"here", "late", "busy"}
 
 
 def test_evidence_of_replicas_that_are_gone_is_forgotten_after_a_while():
@@ -273,8 +279,8 @@
 def test_helping_to_read_a_prompt_is_no_request():
     """A huge prompt is read at seventeen replicas, and one of them gets the request.
 
-    Counted at all of them, a few huge prompts a second used up what warm replicas may
-    get, and short prompts beside them were refused.
+    While it counted as a request at all of them, a few huge prompts a second used up
+    the start limits of warm replicas, and short prompts were refused.
     """
     parts = tuple(Part(name, 0.1, writes=name == "first") for name in ("first", "help"))
     board = make_board(Job("j", "n", parts, 0.0, 5.0))
@@ -314,7 +320,7 @@
 
 
 def test_the_largest_messages_fit_one_datagram():
-    """A datagram that is split is lost more often, and half of it is nothing."""
+    """A fragmented datagram is lost more often: losing any fragment loses all of it."""
     parts = tuple(Part(f"i-{number:010x}", 0.123456, 100_000) for number in range(17))
     node = "front-plouis-a-12.201a8352.f82"
     assert len(encode_message(Started(node, "ffff", parts, 15_000))) < 1_400
@@ -327,7 +333,7 @@
 @settings(max_examples=200, derandomize=True)
 @given(st.binary(max_size=200))
 def test_bytes_that_are_no_message_are_refused(data):
-    """Anybody can send a datagram; none may end the node."""
+    """Anybody can send a datagram, so none may raise an unexpected error in a node."""
     try:
         decode_message(data)
     except msgspec.MsgspecError:
