--- a/lycheetide/peers/_client.py
+++ b/lycheetide/peers/_client.py
@@ -1,4 +1,4 @@
-"""Call other nodes over gRPC; nothing is ever sent twice by the library."""
+"""Client for calls to other nodes over gRPC, with the library's retries turned off."""
 
 import asyncio
 
@@ -7,32 +7,38 @@
 import grpc
 
 from lycheetide.peers._codec import encode, make_decoder
-from lycheetide.peers._messages import CALLS
+from lycheetide.peers._messages import METHODS
 
 SERVICE = "lycheetide.Peer"
-LARGEST_MESSAGE_BYTES = 32_000_000
+MAX_MESSAGE_BYTES = 32_000_000
 CHANNEL_OPTIONS = (
     ("grpc.enable_retries", 0),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 500),
-    ("grpc.max_receive_message_length", LARGEST_MESSAGE_BYTES),
-    ("grpc.max_send_message_length", LARGEST_MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.use_local_subchannel_pool", 1),
 )
 
 
 class PeerUnreached(Exception):
-    """A peer did not answer in time; it may have taken the call all the same."""
+    """A peer did not answer in time; it may have executed the call all the same."""
 
 
 class PeerClient:
-    """Channels to other nodes, one an address."""
+    """Calls other nodes, over one channel for each address.
+
+    Attributes
+    ----------
+    counts : dict of str to int
+        Number of calls made, by method.
+    """
 
     def __init__(self):
         self._channels = {}
-        self._calls = {}
-        self.counts = dict.fromkeys(CALLS, 0)
+        self._stubs = {}
+        self.counts = dict.fromkeys(METHODS, 0)
 
     async def call(self, address, name, request, *, timeout_s):
         """Make one call.
@@ -42,12 +48,17 @@
         address : str
             "ip:port" of the peer.
         name : str
-            A key of ``CALLS``.
+            Name of the method, a key of ``METHODS``.
         request : object
-            The call's request.
+            Request of the method's type.
         timeout_s : float
-            How long to wait; a frozen peer keeps its connections open, so waiting
-            for the connection to break would be waiting for ever.
+            How long to wait. A timeout is necessary since a frozen peer keeps its
+            connections open: waiting for the connection to break would take for ever.
+
+        Returns
+        -------
+        object
+            Reply of the method's type.
 
         Raises
         ------
@@ -55,41 +66,41 @@
             If there is no answer.
         """
         self.counts[name] += 1
-        method = self._get_method(address, name)
+        method = self._get_stub(address, name)
         try:
             return await method(request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
             raise PeerUnreached(f"{name} at {address}: {error.code().name}") from error
         except asyncio.CancelledError:
-            # The library raises a cancellation of its own instead of passing on the
-            # one that it got. A cancel scope does not know it, so a deadline that fell
-            # into a call ended the whole task without a word, and callers got an
-            # empty answer. The checkpoint raises the scope's own one, if there is one.
+            # gRPC raises a CancelledError of its own instead of the one it received.
+            # An anyio cancel scope does not recognize it, so a deadline that passed
+            # during a call ended the whole task silently, and callers got an empty
+            # answer. The checkpoint raises the scope's own cancellation, if any.
             await anyio.lowlevel.checkpoint()
             raise PeerUnreached(f"{name} at {address}: cancelled") from None
 
-    def _get_method(self, address, name):
-        """Return the stub of one call, made once."""
-        method = self._calls.get((address, name))
+    def _get_stub(self, address, name):
+        """Return the stub of a method at an address, creating it on first use."""
+        method = self._stubs.get((address, name))
         if method is None:
             if address not in self._channels:
                 self._channels[address] = grpc.aio.insecure_channel(
                     address, options=CHANNEL_OPTIONS
                 )
-            _, reply_type = CALLS[name]
+            _, reply_type = METHODS[name]
             method = self._channels[address].unary_unary(
                 f"/{SERVICE}/{name}",
                 request_serializer=encode,
                 response_deserializer=make_decoder(reply_type),
             )
-            self._calls[address, name] = method
+            self._stubs[address, name] = method
         return method
 
     async def forget(self, addresses):
-        """Close the channels to all but these addresses."""
+        """Close the channels to all addresses except the given ones."""
         for address in set(self._channels) - set(addresses):
             channel = self._channels.pop(address)
-            self._calls = {k: v for k, v in self._calls.items() if k[0] != address}
+            self._stubs = {k: v for k, v in self._stubs.items() if k[0] != address}
             await channel.close()
 
     async def close(self):
--- a/lycheetide/peers/_codec.py
+++ b/lycheetide/peers/_codec.py
@@ -1,4 +1,4 @@
-"""MessagePack by msgspec; the dataclasses are the schema, so nothing is generated."""
+"""MessagePack encoding by msgspec. Dataclasses are the schema; nothing is generated."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 def encode(message):
-    """Return a message's bytes."""
+    """Return the encoded bytes of a message."""
     return _ENCODER.encode(message)
 
 
 def make_decoder(message_type):
-    """Return a function that reads one type of message."""
+    """Return a function that decodes one type of message."""
     return msgspec.msgpack.Decoder(message_type).decode
--- a/lycheetide/peers/_messages.py
+++ b/lycheetide/peers/_messages.py
@@ -1,4 +1,4 @@
-"""The messages between nodes."""
+"""Requests and replies of the calls between nodes."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,22 +10,22 @@
 
 @dataclass(frozen=True)
 class PullRequest:
-    """A heartbeat: who asks, and what it says of itself."""
+    """Heartbeat: a member sends its own row and asks for the others."""
 
     row: Row
 
 
 @dataclass(frozen=True)
 class PullReply:
-    """What the asked node knows of the members, itself first.
+    """Reply to a heartbeat: what the receiver knows of the members, itself first.
 
     Parameters
     ----------
     rows : tuple of Row
-        One for each member heard of lately.
+        One for each member heard of recently.
     view : View or None
-        The newest view, where the asker knows an older one: a new host can't read it
-        from the log during an outage.
+        Latest view, if the sender of the heartbeat knows only an older one. A new host
+        needs it from here during an outage of the log.
     """
 
     rows: tuple[Row, ...]
@@ -33,7 +33,7 @@
 
 
 class AcquireStatus(StrEnum):
-    """What became of the wish for a permit."""
+    """Outcome of a request for a permit."""
 
     GRANTED = "granted"
     WAITING = "waiting"
@@ -43,24 +43,27 @@
 
 @dataclass(frozen=True)
 class AcquireRequest:
-    """Ask a cell's owner for a permit; asking again keeps the place.
+    """Ask the owner of a cell for a permit, or poll for one.
+
+    Repeating the request with the same ticket keeps its place in the owner's queue.
 
     Parameters
     ----------
     owner_id : str
-        The incarnation that is asked; another one at its address does not answer.
+        Member id of the owner. It names one incarnation of the owner; another one at
+        the same address rejects the request.
     cell : str
-        The cell.
+        Cell that the permit is for.
     ticket_id, entry_id, request_id, customer, request_class, prefix_key : str
         As in ``Ticket``.
     prompt_tokens, answer_tokens : int
         As in ``Ticket``.
     left_ms : int
-        The time left to the deadline.
+        Time left until the deadline.
     waited_ms : int
-        How long the request has waited already, here or at other owners.
+        Time that the request has waited so far, here or at other owners.
     avoid : tuple of str
-        Replicas on which an earlier attempt broke.
+        Replicas on which an earlier attempt failed.
     """
 
     owner_id: str
@@ -80,7 +83,7 @@
 
 @dataclass(frozen=True)
 class AcquireReply:
-    """What became of it; fields that don't apply are empty."""
+    """Outcome of a request for a permit; fields that don't apply are empty."""
 
     status: AcquireStatus
     permit_id: str = ""
@@ -93,7 +96,10 @@
 
 @dataclass(frozen=True)
 class MetRequest:
-    """Tell an owner which life of an upstream has taken a permit's request."""
+    """Tell an owner that an upstream has received the request of a permit.
+
+    ``boot_id`` names the incarnation of the upstream that received it.
+    """
 
     cell: str
     permit_id: str
@@ -103,12 +109,12 @@
 
 @dataclass(frozen=True)
 class MetReply:
-    """Nothing but the receipt."""
+    """Empty acknowledgement."""
 
 
 @dataclass(frozen=True)
 class AdoptRequest:
-    """Tell a cell's new owner of permits that an earlier owner gave."""
+    """Tell the new owner of a cell of permits that an earlier owner granted."""
 
     cell: str
     permits: tuple[Permit, ...]
@@ -116,12 +122,12 @@
 
 @dataclass(frozen=True)
 class AdoptReply:
-    """Nothing but the receipt."""
+    """Empty acknowledgement."""
 
 
 @dataclass(frozen=True)
 class RenewRequest:
-    """Keep permits of one cell alive."""
+    """Renew permits of one cell."""
 
     cell: str
     permit_ids: tuple[str, ...]
@@ -129,14 +135,17 @@
 
 @dataclass(frozen=True)
 class RenewReply:
-    """The permits that the owner does not know."""
+    """Ids of the permits that the owner does not know."""
 
     unknown: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class FinishRequest:
-    """End a permit, or withdraw a ticket; ``broken`` replicas are looked at anew."""
+    """Return a permit, or withdraw a ticket.
+
+    The owner probes the replicas in ``broken`` again.
+    """
 
     cell: str
     permit_id: str = ""
@@ -146,11 +155,11 @@
 
 @dataclass(frozen=True)
 class FinishReply:
-    """Nothing but the receipt."""
+    """Empty acknowledgement."""
 
 
 class HandOverStatus(StrEnum):
-    """Whether an earlier owner has given a cell up."""
+    """Whether an earlier owner has given up a cell."""
 
     GIVEN = "given"
     NOT_YET = "not_yet"
@@ -159,7 +168,7 @@
 
 @dataclass(frozen=True)
 class HandOverRequest:
-    """Ask an earlier owner for a cell that a later view gives to another."""
+    """Ask an earlier owner to hand over a cell that a later view assigns to another."""
 
     owner_id: str
     cell: str
@@ -168,7 +177,10 @@
 
 @dataclass(frozen=True)
 class HandOverReply:
-    """The permits in force, with how long ago each was granted and renewed."""
+    """Permits in force, which give their times of grant and renewal.
+
+    These times are on the clock of the earlier owner, which stands at ``now_s``.
+    """
 
     status: HandOverStatus
     permits: tuple[Permit, ...] = ()
@@ -177,28 +189,28 @@
 
 @dataclass(frozen=True)
 class ConfigRequest:
-    """Ask for the configuration if it is newer."""
+    """Ask for the configuration if it is newer than ``version``."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class ConfigReply:
-    """A snapshot record, or None."""
+    """Snapshot record of the configuration, or None if there is no newer one."""
 
     snapshot: Any = None
 
 
 @dataclass(frozen=True)
 class BookingQuery:
-    """Ask the node that holds a claim what became of it."""
+    """Ask the node that holds the claim on a key for its outcome."""
 
     member_id: str
     key: str
 
 
 class BookingStatus(StrEnum):
-    """What a node knows of a key that it holds."""
+    """State of a key at the node that holds it."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -208,7 +220,7 @@
 
 @dataclass(frozen=True)
 class BookingReply:
-    """What became of a key; status and body are the service's."""
+    """Outcome of a key; ``http_status`` and ``body`` come from the service."""
 
     status: BookingStatus
     body_hash: str = ""
@@ -221,7 +233,7 @@
 
 @dataclass(frozen=True)
 class RunBookingRequest:
-    """Have the node that issued a key run it."""
+    """Ask the node that issued a key to run its operation."""
 
     member_id: str
     key: str
@@ -234,8 +246,8 @@
     left_ms: int
 
 
-# For each call: its request and its reply.
-CALLS: dict[str, tuple[type, type]] = {
+# Request and reply type of each gRPC method.
+METHODS: dict[str, tuple[type, type]] = {
     "pull": (PullRequest, PullReply),
     "acquire": (AcquireRequest, AcquireReply),
     "met": (MetRequest, MetReply),
--- a/lycheetide/peers/tests/test_client.py
+++ b/lycheetide/peers/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Calls between nodes are sent once, and end whatever the peer does."""
+"""Calls between nodes are sent only once, and end whatever the peer does."""
 
 import time
 
@@ -13,8 +13,8 @@
 from standins.local import find_port
 
 
-class BadServer:
-    """Refuses each stream in the way that lets a client try again, or is silent."""
+class FaultyServer:
+    """HTTP/2 server that refuses each stream as retryable, or never answers."""
 
     def __init__(self, *, refuses):
         self.refuses = refuses
@@ -52,10 +52,10 @@
 def test_a_refused_call_is_not_repeated_by_the_library():
     """A peer refuses a stream without having processed it.
 
-    The library may send such a call again by itself. A call that passes a booking on
-    would then arrive twice, and nobody would know.
+    The gRPC library may send such a call again by itself. A call that forwards a
+    booking could then arrive twice without anybody knowing.
     """
-    server = BadServer(refuses=True)
+    server = FaultyServer(refuses=True)
     port = find_port()
 
     async def main():
@@ -73,13 +73,13 @@
 
 
 def test_a_deadline_in_the_middle_of_a_call_is_seen_by_its_scope():
-    """A peer is frozen, and the caller's deadline passes before the call's own.
+    """A peer is frozen, and the caller's deadline passes before the one of the call.
 
-    The library raises a cancellation of its own; taken for the task's, it ended
-    whatever the task was about without a word.
+    gRPC then raises a CancelledError of its own, which was taken for a cancellation of
+    the task and ended it silently.
     """
     port = find_port()
-    server = BadServer(refuses=False)
+    server = FaultyServer(refuses=False)
 
     async def main():
         listener = await anyio.create_tcp_listener(
