--- a/lycheetide/streams/__init__.py
+++ b/lycheetide/streams/__init__.py
@@ -1,4 +1,4 @@
-"""Check that an answer is whole and belongs to its own attempt."""
+"""Check that an answer is complete and belongs to its own attempt."""
 
 from lycheetide.streams._check import (
     Chunk,
--- a/lycheetide/streams/_check.py
+++ b/lycheetide/streams/_check.py
@@ -1,10 +1,11 @@
-"""Check every chunk for its attempt, its sequence number and the end mark.
-
-Answers come late and crossed: a connection that was given up on may still deliver,
-and an engine may send one request's tokens on another's stream. Without this check a
-caller would read a rival's tokens or a gap, and not notice; so a chunk that is not
-exactly the next one of this attempt is dropped and counted, and only an end mark at
-the expected place makes an answer whole.
+"""Check the attempt, the sequence number and the end mark of every chunk of an answer.
+
+Chunks may arrive late or on the wrong stream: an abandoned connection may still
+deliver, and an engine may send the tokens of one request on the stream of another.
+Without this check a caller would get another request's tokens, or an answer with a gap,
+and not notice. So a chunk that is not exactly the next one of its attempt is dropped
+and counted, and an answer is complete only if its end mark comes at the expected
+position.
 """
 
 from dataclasses import dataclass
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Chunk:
-    """One chunk as an engine sends it."""
+    """A chunk of an answer, as an engine sends it."""
 
     attempt_id: str
     seq: int
@@ -24,7 +25,11 @@
 
 
 class ChunkVerdict(StrEnum):
-    """What to do with a chunk."""
+    """What to do with a chunk.
+
+    ``GAP`` means that chunks before it are missing, and ``SHORT`` that the end mark
+    came at another position than expected.
+    """
 
     DELIVER = "deliver"
     DROP_CROSSED = "drop_crossed"
@@ -36,14 +41,14 @@
 
 @dataclass(frozen=True)
 class StreamCheck:
-    """How far one request's answer has come.
+    """Progress of the answer to one request.
 
     Parameters
     ----------
     attempt_id : str
-        The attempt that may deliver now.
+        The attempt whose chunks are accepted.
     next_seq : int
-        The token that comes next.
+        Sequence number of the next token, which the next chunk carries.
     """
 
     attempt_id: str
@@ -51,30 +56,30 @@
 
 
 def parse_chunk(data):
-    """Read a chunk.
+    """Decode a chunk from JSON.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it is none.
+        If the data is not a valid chunk.
     """
     return msgspec.json.decode(data, type=Chunk)
 
 
 def check_chunk(check, chunk):
-    """Judge one chunk.
+    """Check one chunk against the progress of the answer.
 
     Parameters
     ----------
     check : StreamCheck
-        How far the answer has come.
+        Progress before the chunk.
     chunk : Chunk
-        What came.
+        The received chunk.
 
     Returns
     -------
     check : StreamCheck
-        How far it is afterwards.
+        Progress after the chunk.
     verdict : ChunkVerdict
         What to do with the chunk.
 
--- a/lycheetide/streams/tests/test_check.py
+++ b/lycheetide/streams/tests/test_check.py
@@ -1,4 +1,4 @@
-"""Whatever chunks come, the caller gets its own tokens in order, or an error."""
+"""Whatever chunks arrive, the caller gets its own tokens in order, or an error."""
 
 import hypothesis.strategies as st
 import msgspec
@@ -25,7 +25,7 @@
 @given(st.lists(chunks, max_size=40))
 @settings(derandomize=True, deadline=None, max_examples=400)
 def test_delivered_tokens_are_the_attempts_own_without_a_gap(received):
-    """Connections that were given up on still deliver, and engines mix up streams."""
+    """Abandoned connections may still deliver, and engines may mix up streams."""
     check = StreamCheck("mine")
     delivered = []
     for chunk in received:
--- a/lycheetide/tasks/__init__.py
+++ b/lycheetide/tasks/__init__.py
@@ -1,4 +1,4 @@
-"""Tasks whose faults don't end the process."""
+"""Supervised tasks, and detection of stalls of the process."""
 
 from lycheetide.tasks._guard import GuardedTasks, keep_running
 from lycheetide.tasks._standstill import TICK_S, Standstill, watch_standstill
--- a/lycheetide/tasks/_guard.py
+++ b/lycheetide/tasks/_guard.py
@@ -1,4 +1,4 @@
-"""Keep one part's fault from ending the whole node."""
+"""Supervision of tasks, so that an error in one does not end the whole node."""
 
 import anyio
 
@@ -10,19 +10,19 @@
 
 
 async def keep_running(node, part, *args):
-    """Run a part for ever; after an error it is started again.
+    """Run a background task of a node for ever, restarting it after errors.
 
-    Without this an unforeseen answer from one upstream would end the task group, and
-    with it every request of the node; callers would see their streams cut.
+    Without a restart, an unforeseen answer of one upstream would end the task group and
+    with it every request of the node, and callers would see their streams cut.
 
     Parameters
     ----------
     node : NodeState
-        Passed to the part.
+        State of the node, passed to ``part``.
     part : callable
-        A coroutine function that never returns.
+        A coroutine function that never returns. Its name is part of a metric name.
     *args : object
-        Passed on as well.
+        Further arguments for ``part``.
     """
     while True:
         try:
@@ -35,14 +35,14 @@
 
 
 class GuardedTasks:
-    """A task group whose tasks log their errors instead of ending it.
+    """Task group in which an error of a task is logged and does not end the group.
 
     Parameters
     ----------
     group : anyio.abc.TaskGroup
-        Where they run.
+        Task group that runs the tasks.
     counters : Counters
-        Count the errors.
+        Metrics in which errors are counted.
     """
 
     def __init__(self, group, counters):
@@ -50,11 +50,11 @@
         self.counters = counters
 
     def start_soon(self, function, *args):
-        """Start a task."""
+        """Start a task; the function's name is part of a metric name."""
         self.group.start_soon(self._run, function, args)
 
     async def _run(self, function, args):
-        """Run a task and log its error."""
+        """Run a task and log the error that ends it, if any."""
         try:
             await function(*args)
         except Exception:
--- a/lycheetide/tasks/_standstill.py
+++ b/lycheetide/tasks/_standstill.py
@@ -1,7 +1,8 @@
-"""Notice that this process stood still: frozen, starved, or busy within one step.
+"""Detect stalls of this process: suspended, short of CPU, or blocking its event loop.
 
-What it knows grew old meanwhile, through no fault of the others, and what it was told
-lies unread. Without a line on it, a late answer can't be told from a lost one.
+During a stall the process's knowledge of others becomes old through no fault of theirs,
+and what they sent meanwhile is still unread. Without a log line about it, answers that
+came late can't be told from lost ones.
 """
 
 import time
@@ -11,41 +12,47 @@
 from lycheetide.metrics import get_log
 
 TICK_S = 0.1
-STILL_S = 0.4
-"""A loop that turns so late stood still; a choice of a place takes hundredths."""
+STALL_MIN_S = 0.4
+"""A tick of the event loop that is this late counts as a stall. Choosing a replica also
+blocks the loop, for hundredths of a second."""
 
 log = get_log("node")
 
 
 class Standstill:
-    """When this process last stood still, as its own loop tells."""
+    """Detects when this process last stalled, from the ticks of its event loop."""
 
     def __init__(self):
-        self._ticked_s = None
+        self._last_tick_s = None
         self._ended_s = float("-inf")
 
     def tick(self, *, now_s):
-        """Note a turn of the loop; return how long it stood still before, or 0."""
-        since_s = now_s if self._ticked_s is None else self._ticked_s
-        self._ticked_s = now_s
-        stood_s = now_s - since_s - TICK_S
-        if stood_s < STILL_S:
+        """Record a tick; return the length of the stall that it ends, or 0."""
+        since_s = now_s if self._last_tick_s is None else self._last_tick_s
+        self._last_tick_s = now_s
+        stalled_s = now_s - since_s - TICK_S
+        if stalled_s < STALL_MIN_S:
             return 0.0
         self._ended_s = now_s
-        return stood_s
+        return stalled_s
 
     def is_just_over(self, *, now_s, within_s):
-        """Tell whether one ended lately, or ends now and wasn't noted yet."""
-        if self._ticked_s is not None and now_s - self._ticked_s > STILL_S + TICK_S:
+        """Return whether a stall ended recently, or ends now and has no tick yet."""
+        if (
+            self._last_tick_s is not None
+            and now_s - self._last_tick_s > STALL_MIN_S + TICK_S
+        ):
             return True
         return now_s - self._ended_s < within_s
 
 
 async def watch_standstill(node):
-    """Note each standstill of a node's process, for ever."""
+    """Log and count the stalls of a node's process; never returns."""
     while True:
-        stood_s = node.standstill.tick(now_s=time.monotonic())
-        if stood_s:
+        stalled_s = node.standstill.tick(now_s=time.monotonic())
+        if stalled_s:
             node.counters.add("node.stood_still")
-            log.info("The process stood still.", extra={"for_ms": round(stood_s * 1e3)})
+            log.info(
+                "The process stood still.", extra={"for_ms": round(stalled_s * 1e3)}
+            )
         await anyio.sleep(TICK_S)
--- a/lycheetide/tasks/tests/__init__.py
+++ b/lycheetide/tasks/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the tasks."""
+"""Tests of this subpackage."""
--- a/lycheetide/tasks/tests/test_standstill.py
+++ b/lycheetide/tasks/tests/test_standstill.py
@@ -1,4 +1,4 @@
-"""A process tells that it stood still."""
+"""A process detects its own stalls."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 
 @pytest.mark.parametrize(("gap_s", "stood_s"), [(0.1, 0.0), (0.4, 0.0), (3.1, 3.0)])
 def test_a_loop_that_turns_late_stood_still(gap_s, stood_s):
-    """A process was frozen, and nothing tells its late answers from lost ones."""
+    """A process was suspended, and its late answers must be told from lost ones."""
     standstill = Standstill()
     assert standstill.tick(now_s=10.0) == 0.0
     assert standstill.tick(now_s=10.0 + gap_s) == pytest.approx(stood_s)
 
 
 def test_a_process_that_stood_still_knows_before_its_next_turn():
-    """Callers are read before the watch has its turn, and find old knowledge."""
+    """Requests are handled before the next tick, while the process's state is old."""
     standstill = Standstill()
     standstill.tick(now_s=10.0)
     assert not standstill.is_just_over(now_s=10.1, within_s=2.0)
