--- a/lycheetide/board/_board.py
+++ b/lycheetide/board/_board.py
@@ -175,13 +175,13 @@
 
     def backlog_s(self, replica, *, now_s):
         """Return the seconds of prefill that are left at a replica."""
-        workload = self.workloads.get(replica)
-        return max(0.0, workload.busy_until_s - now_s) if workload else 0.0
+        found = self.workloads.get(replica)
+        return max(0.0, found.busy_until_s - now_s) if found else 0.0
 
     def unread(self, replica, *, now_s):
         """Return the prompts and parts that a replica hasn't read yet."""
-        workload = self.workloads.get(replica)
-        return workload.list_unread(now_s=now_s) if workload else []
+        found = self.workloads.get(replica)
+        return found.list_unread(now_s=now_s) if found else []
 
     def column(self, replica) -> ReplicaWorkload:
         """Return the workload of a replica."""
@@ -192,12 +192,12 @@
 
         Starts are kept for ``START_WINDOW_S``, so a longer window counts no more.
         """
-        workload = self.workloads.get(replica)
-        if workload is None:
+        found = self.workloads.get(replica)
+        if found is None:
             return 0
-        while workload.starts and now_s - workload.starts[0] > START_WINDOW_S:
-            workload.starts.popleft()
-        return sum(1 for at_s in workload.starts if now_s - at_s <= window_s)
+        while found.starts and now_s - found.starts[0] > START_WINDOW_S:
+            found.starts.popleft()
+        return sum(1 for at_s in found.starts if now_s - at_s <= window_s)
 
     def starts_per_s(self, *, now_s):
         """Return the request rate of all nodes: the higher of two windows.
--- a/lycheetide/board/_peers.py
+++ b/lycheetide/board/_peers.py
@@ -5,8 +5,8 @@
 import xxhash
 
 PEER_TIMEOUT_S = 3.0
-"""A peer silent for this long counts as dead: it gets no messages, and no share of what
-the nodes divide among themselves."""
+"""A peer silent for this long counts as dead: it gets no messages but greetings, and no
+share of what the nodes divide among themselves."""
 PEER_RETENTION_S = 30.0
 """A peer silent for this long is no longer greeted and is dropped from the table."""
 INDIRECT_REPORT_AGE_S = 0.5
--- a/lycheetide/peers/_client.py
+++ b/lycheetide/peers/_client.py
@@ -96,7 +96,7 @@
             self._stubs[address, name] = method
         return method
 
-    async def forget(self, addresses):
+    async def close_except(self, addresses):
         """Close the channels to all addresses except the given ones."""
         for address in set(self._channels) - set(addresses):
             channel = self._channels.pop(address)
@@ -105,4 +105,4 @@
 
     async def close(self):
         """Close all channels."""
-        await self.forget(())
+        await self.close_except(())
