--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -8,24 +8,24 @@
 from lycheetide.exchange import Answer
 from lycheetide.httpclient import ChannelBroken, ConnectFailed, count_kept
 from lycheetide.placement import Placement
-from lycheetide.relay._call import find_urgency
+from lycheetide.relay._call import find_admission_priority
 from lycheetide.relay._evidence import note_answer, suspect
 from lycheetide.relay._outcomes import AttemptFailed, Cause
 from lycheetide.relay._retries import spend_retry
 from lycheetide.relay._state import read_clock
 
-CONNECT_S = 0.4
-"""How long a connection may take: a hundred round trips between failure domains."""
-LATE_START_S = 0.05
-"""A request that goes out so much later than it was announced is announced again: the
-others count it for a second from when they hear of it."""
-JOB_SLACK_S = 1.0
-"""How long after its deadline a request is taken for ended if nobody says so."""
+CONNECT_TIMEOUT_S = 0.4
+"""Longest time to open a connection: a hundred round trips between failure domains."""
+LATE_SEND_S = 0.05
+"""A request that is sent this much later than it was announced is announced again: the
+other nodes count it for one second from when they receive the announcement."""
+JOB_EXPIRY_MARGIN_S = 1.0
+"""How long after its deadline a request counts as ended if its end isn't announced."""
 
 
 @dataclass
 class Attempt:
-    """A request at one replica, with its answer's head read."""
+    """A request at one replica after the head of its answer was read."""
 
     channel: Any
     answer: Answer
@@ -33,10 +33,10 @@
 
 
 def make_parts(call, placement):
-    """Return what a request costs at each replica that takes part."""
+    """Return the cost of a request at each replica that takes part in it."""
     read_s = placement.part_read_s
-    held = sum(share.tokens for share in placement.holders)
-    parts = [Part(placement.first.id, read_s, call.size.tokens - held, True)]
+    held_tokens = sum(share.tokens for share in placement.holders)
+    parts = [Part(placement.first.id, read_s, call.size.tokens - held_tokens, True)]
     parts += [
         Part(share.replica.id, read_s, share.tokens, False)
         for share in placement.holders
@@ -46,23 +46,23 @@
 
 
 @asynccontextmanager
-async def announced(relay, call, placement):
-    """Tell all nodes of an attempt while it lasts.
+async def announced_attempt(relay, call, placement):
+    """Announce an attempt to all nodes, and its end when the context exits.
 
     Yields
     ------
     str
-        Its name.
+        The job id of the attempt.
     """
     now_s = read_clock()
-    lasts_s = max(0.0, call.left_s(now_s=now_s)) + JOB_SLACK_S
+    expires_in_s = max(0.0, call.remaining_s(now_s=now_s)) + JOB_EXPIRY_MARGIN_S
     job_id = relay.next_job()
     due_s = call.request.received_s + call.route.target_latency_s
     started = Started(
         relay.node,
         job_id,
         make_parts(call, placement),
-        lasts_ms=round(lasts_s * 1e3),
+        lasts_ms=round(expires_in_s * 1e3),
         due_in_ms=round((due_s - now_s) * 1e3),
         gap_ms=round(call.route.target_gap_s * 1e3),
         weight_hundredths=round(call.size.weight * 100),
@@ -77,10 +77,11 @@
         relay.tell_work(Ended(relay.node, job_id))
 
 
-def announce_start(relay, replica, *, now_s):
-    """Tell all nodes of a sending that they wouldn't count in its second.
+def announce_late_send(relay, replica, *, now_s):
+    """Announce a late request that other nodes wouldn't count in the right second.
 
-    It is told as a request that asks nothing of the replica and has ended.
+    The announcement is a job without cost that has ended already, so that only the
+    start is counted.
     """
     job_id = relay.next_job()
     started = Started(
@@ -98,26 +99,29 @@
 
 @asynccontextmanager
 async def open_attempt(
-    relay, call, placement, *, head_s, more=None, tickets=(), resume_after=b""
+    relay, call, placement, *, head_timeout_s, more=None, tickets=(), resume_after=b""
 ):
     """Send a request and read the head of its answer.
 
+    On exit the connection is returned to the pool if the answer was read completely,
+    and closed otherwise.
+
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The request.
     placement : Placement
-        Where it goes.
-    head_s : float
-        How long the head may take.
+        The replicas that take part.
+    head_timeout_s : float
+        Longest time until the head arrives.
     more : callable or None
-        Tells how much longer it may take then.
+        Called after that time; returns how many more seconds to wait, 0 to give up.
     tickets : sequence of (str, str)
-        Addresses that hold its memory, each with its ticket.
+        Addresses that hold memory for the request, each with its ticket.
     resume_after : bytes
-        The last event that the caller has.
+        Id of the last event that the caller received.
 
     Yields
     ------
@@ -126,7 +130,7 @@
     Raises
     ------
     AttemptFailed
-        If there was no head of an answer to this request.
+        If no head of an answer to this request arrived.
     """
     first = placement.first
     outgoing = relay.adapter.encode_attempt(
@@ -134,16 +138,16 @@
         call.body,
         replica=relay.replicas.replicas[first.id].entry,
         customer=call.customer.name if call.customer else "",
-        left_s=call.left_s(now_s=read_clock()),
+        left_s=call.remaining_s(now_s=read_clock()),
         helpers=(
             *tickets,
             *((one.address, "") for one in placement.helpers),
         ),
-        urgency=find_urgency(call),
+        urgency=find_admission_priority(call),
         resume_after=resume_after or call.request.resume_after,
     )
     channel, head = await exchange_head(
-        relay, call, first, outgoing, head_s=head_s, more=more
+        relay, call, first, outgoing, head_timeout_s=head_timeout_s, more=more
     )
     whole = False
     try:
@@ -152,7 +156,7 @@
         check_answer(call, answer)
         attempt = Attempt(channel, answer, placement)
         yield attempt
-        whole = channel.is_reusable and not _closes(answer)
+        whole = channel.is_reusable and not _closes_connection(answer)
     finally:
         if whole:
             now_s = read_clock()
@@ -163,18 +167,18 @@
             await channel.aclose()
 
 
-async def exchange_head(relay, call, first, outgoing, *, head_s, more):
-    """Send a request to a replica; return the connection and the answer's head.
+async def exchange_head(relay, call, first, outgoing, *, head_timeout_s, more):
+    """Send a request to a replica; return the connection and the head of the answer.
 
-    A replica may close a kept connection at any moment, and what crosses that is reset.
-    It has nearly always not been read, and the replica is sound; so what may be
-    repeated is sent there once more, on a new connection. Otherwise two closed
-    connections would use up a request's attempts.
+    A replica may close a kept connection at any time; a request that crosses the close
+    on the wire is reset. The replica has nearly always not read it, and is healthy, so
+    a repeatable request is sent to it again on a new connection. Otherwise two closed
+    connections would use up all attempts of a request.
 
     Raises
     ------
     AttemptFailed
-        If there is none.
+        If no head arrives.
     """
     is_fresh = not call.route.is_repeatable
     is_counted = False
@@ -186,7 +190,7 @@
         finally:
             relay.note_settled(first.id)
         if not is_counted:
-            # A replica that can't be reached uses up no attempt.
+            # Counted only now: an unreachable replica must not use up an attempt.
             call.sent += 1
             call.has_retry = False
             is_counted = True
@@ -194,10 +198,10 @@
         try:
             now_s = read_clock()
             relay.note_start(first.id, now_s=now_s)
-            if now_s - announced_s > LATE_START_S:
-                announce_start(relay, first.id, now_s=now_s)
+            if now_s - announced_s > LATE_SEND_S:
+                announce_late_send(relay, first.id, now_s=now_s)
             announced_s = float("-inf")
-            head = await channel.request(outgoing, timeout_s=head_s, more=more)
+            head = await channel.request(outgoing, timeout_s=head_timeout_s, more=more)
             return channel, head
         except BaseException as error:
             await channel.aclose()
@@ -222,11 +226,14 @@
     Raises
     ------
     AttemptFailed
-        If none can be opened.
+        If no connection can be opened.
     """
     try:
         return await relay.pool.open(
-            first.address, timeout_s=CONNECT_S, now_s=read_clock(), fresh=is_fresh
+            first.address,
+            timeout_s=CONNECT_TIMEOUT_S,
+            now_s=read_clock(),
+            fresh=is_fresh,
         )
     except ConnectFailed as error:
         suspect(relay, first.id, "no connection")
@@ -236,13 +243,13 @@
 
 
 def make_failure(broken, *, is_written):
-    """Return how an attempt failed whose connection broke."""
+    """Return the failure of an attempt whose connection broke."""
     cause = Cause.SILENT if broken.is_silent else Cause.BROKEN
     return AttemptFailed(cause, str(broken), may_have_run=is_written)
 
 
-def _closes(answer):
-    """Tell whether the replica closes the connection behind its answer."""
+def _closes_connection(answer):
+    """Tell whether the replica closes the connection after its answer."""
     return any(
         name == b"connection" and b"close" in value.lower()
         for name, value in answer.headers
@@ -250,12 +257,13 @@
 
 
 def check_answer(call, answer):
-    """Check that a head answers this request.
+    """Check that the head of an answer belongs to this request.
 
     Raises
     ------
     AttemptFailed
-        If it is another's answer, a refusal, or none that the replica vouches for.
+        If it answers another request, refuses this one, or isn't vouched for by the
+        replica.
     """
     if answer.is_unstarted:
         cause = Cause.OTHER_REPLICA if answer.is_other_replica else Cause.REFUSED
--- a/lycheetide/relay/_call.py
+++ b/lycheetide/relay/_call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way."""
+"""The state of one caller's request while the relay serves it."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,51 +7,54 @@
 from lycheetide.placement import Size
 from lycheetide.routes import Customer, Route, Service
 
-URGENCY_TOKENS = (10_000, 30_000, 60_000, 120_000)
-"""Prompt lengths at which a prompt is admitted one step later: each takes about twice
-as long to read as the one before."""
-REFUSED_AGAIN_S = 0.25
-"""How long a replica that refused a call is left out for it; doubles each time."""
-REFUSED_MOST = 4
-"""Refusals of one replica after which it isn't asked again for a call at all."""
+ADMISSION_PRIORITY_TOKENS = (10_000, 30_000, 60_000, 120_000)
+"""Upper bounds of prompt length, in tokens, for the admission priority levels. A prompt
+of each bound takes about twice as long to read as one of the bound before."""
+REFUSAL_BACKOFF_S = 0.25
+"""How long a call isn't sent to a replica after its first refusal. The time doubles
+with each further refusal by the same replica."""
+MAX_REFUSALS = 4
+"""Number of refusals after which a replica isn't tried again for the same call."""
 
 
 @dataclass
 class Call:
-    """One caller's request on its way.
+    """The state of one caller's request while the relay serves it.
 
     Parameters
     ----------
     request : CallerRequest
-        What came.
+        The request as decoded.
     body : bytes
-        Its body.
+        The request body.
     route : Route
-        Where it goes.
+        The route that the request matched.
     service : Service
-        Which replicas serve it.
+        The service whose replicas may serve the request.
     customer : Customer or None
-        Whose it is.
+        The customer that sent the request; None if the route needs no customer.
     size : Size
-        What it asks of a replica.
+        Number of tokens in the prompt and in the longest answer.
     deadline_s : float
-        When its final answer is due.
+        Time by which the final answer must be sent.
     sent : int
-        Replicas that it was sent to.
+        Number of replicas that the request was sent to.
     may_have_run : bool
-        Whether one of them may have begun.
+        Whether any of these replicas may have started to run the request.
     tried : set of str
-        Which they were, those that refused it without running it apart.
+        Replicas that the request was sent to, without those that refused it before
+        running it.
     refusals : Counter of str
-        How often each replica refused it.
-    refused_s : dict of str to float
-        When each of them last did.
+        Number of refusals by each replica.
+    last_refused_s : dict of str to float
+        Time of the latest refusal by each replica.
     helpers_refused : bool
-        Whether a replica refused it that was to read it together with others.
+        Whether a replica refused to read the prompt together with helpers, without
+        naming the helper at fault.
     is_begun : bool
-        Whether its caller has got a part of the answer.
+        Whether a part of the answer was sent to the caller.
     has_retry : bool
-        Whether its next attempt was taken from the retry budget.
+        Whether a retry was taken from the retry budget for the next attempt.
     """
 
     request: CallerRequest
@@ -65,57 +68,66 @@
     may_have_run: bool = False
     tried: set[str] = field(default_factory=set)
     refusals: Counter[str] = field(default_factory=Counter)
-    refused_s: dict[str, float] = field(default_factory=dict)
+    last_refused_s: dict[str, float] = field(default_factory=dict)
     helpers_refused: bool = False
     is_begun: bool = False
     has_retry: bool = False
 
-    def left_s(self, *, now_s):
-        """Return the time until the answer is due."""
+    def remaining_s(self, *, now_s):
+        """Return the time until the deadline, in seconds."""
         return self.deadline_s - now_s
 
     def note_refused(self, replica, *, now_s):
-        """Note that a replica refused the call and hasn't run it."""
+        """Record that a replica refused the call without running it."""
         self.tried.discard(replica)
         self.refusals[replica] += 1
-        self.refused_s[replica] = now_s
+        self.last_refused_s[replica] = now_s
 
     def list_closed(self, *, now_s):
-        """Return the replicas that the call may not be sent to now.
+        """Return the replicas that the call must not be sent to at present.
 
-        A replica that is full for a moment refuses, and takes the call a moment later.
-        Left out for good, it would be missing where no other one is left.
+        A replica that refused the call is excluded only for a backoff time: a replica
+        that is briefly full accepts the call a moment later. Excluded for good, it
+        would be missing when no other replica is left.
         """
         return self.tried | {
             replica
-            for replica, at_s in self.refused_s.items()
-            if now_s - at_s < find_refused_pause_s(self.refusals[replica])
+            for replica, at_s in self.last_refused_s.items()
+            if now_s - at_s < find_refusal_backoff_s(self.refusals[replica])
         }
 
 
-def find_refused_pause_s(refusals):
-    """Return how long a replica isn't asked again after so many refusals.
+def find_refusal_backoff_s(refusals):
+    """Return for how many seconds a replica is excluded after its latest refusal.
+
+    Parameters
+    ----------
+    refusals : int
+        Number of refusals by this replica, at least 1.
 
     Examples
     --------
-    >>> [find_refused_pause_s(refusals) for refusals in (1, 2, 3, 4)]
+    >>> [find_refusal_backoff_s(refusals) for refusals in (1, 2, 3, 4)]
     [0.25, 0.5, 1.0, inf]
     """
-    if refusals >= REFUSED_MOST:
+    if refusals >= MAX_REFUSALS:
         return float("inf")
-    return REFUSED_AGAIN_S * 2 ** (refusals - 1)
+    return REFUSAL_BACKOFF_S * 2 ** (refusals - 1)
 
 
-def find_urgency(call):
-    """Return how soon a replica admits a prompt: the shorter, the sooner."""
+def find_admission_priority(call):
+    """Return the priority with which a replica admits a prompt, or None without one.
+
+    Replicas admit lower values first; shorter prompts get lower values.
+    """
     if call.size.prompt_tokens == 0:
         return None
-    urgency = next(
+    length_class = next(
         (
             place
-            for place, tokens in enumerate(URGENCY_TOKENS)
+            for place, tokens in enumerate(ADMISSION_PRIORITY_TOKENS)
             if call.size.prompt_tokens <= tokens
         ),
-        len(URGENCY_TOKENS),
+        len(ADMISSION_PRIORITY_TOKENS),
     )
-    return min(9, urgency + 2)
+    return min(9, length_class + 2)
--- a/lycheetide/relay/_events.py
+++ b/lycheetide/relay/_events.py
@@ -1,4 +1,4 @@
-"""Split a stream into whole events."""
+"""Split a stream of server-sent events into whole events."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
     Parameters
     ----------
     data : bytes
-        All its lines with the empty one behind them.
+        All lines of the event, with the empty line that ends it.
     id : bytes
-        Its id; empty where it has none.
+        The id of the event; empty if it has none.
     """
 
     data: bytes
@@ -23,12 +23,17 @@
 
     @property
     def number(self):
-        """The id as a number, or None."""
+        """The id as a number, or None if it isn't one."""
         return int(self.id) if self.id.isdigit() else None
 
 
 class EventSplitter:
-    r"""Collects bytes and gives back whole events.
+    r"""Buffers bytes of a stream and returns whole events.
+
+    Attributes
+    ----------
+    rest : bytes
+        Bytes after the last whole event.
 
     Examples
     --------
@@ -43,7 +48,7 @@
         self.rest = b""
 
     def split(self, data: bytes) -> Iterator[Event]:
-        """Take bytes in and yield the events that are whole now."""
+        """Add bytes to the buffer and yield the events that are now whole."""
         self.rest += data.replace(b"\r\n", b"\n") if b"\r" in data else data
         while (end := self.rest.find(END_OF_EVENT)) >= 0:
             end += len(END_OF_EVENT)
@@ -52,7 +57,7 @@
 
 
 def find_id(event: bytes) -> bytes:
-    r"""Return the id of an event.
+    r"""Return the id of an event; empty if it has none.
 
     Examples
     --------
--- a/lycheetide/relay/_ingress.py
+++ b/lycheetide/relay/_ingress.py
@@ -1,79 +1,79 @@
-"""Take callers' requests from the HTTP server."""
+"""Receive callers' requests from the ASGI server."""
 
 import anyio
 import msgspec
 
-from lycheetide.relay._outcomes import CallerLeft, Cause, Refusal, StreamCut
+from lycheetide.relay._outcomes import CallerDisconnected, Cause, Refusal, StreamAborted
 from lycheetide.relay._reply import Reply
-from lycheetide.relay._serve import make_call, serve_call, wait_for_first_news
+from lycheetide.relay._serve import make_call, serve_call, wait_for_initial_state
 from lycheetide.relay._state import read_clock
 
 
 def make_ingress(relay):
-    """Return the application that serves callers.
+    """Return the ASGI application that serves callers.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     """
 
     async def ingress(scope, receive, send):
         if scope["type"] == "lifespan":
             return
         if scope["type"] != "http":
-            raise StreamCut("only HTTP requests are served")
-        await serve_one(relay, scope, receive, send)
+            raise StreamAborted("only HTTP requests are served")
+        await serve_request(relay, scope, receive, send)
 
     return ingress
 
 
-async def serve_one(relay, scope, receive, send):
-    """Serve one request; it ends at once when its caller leaves."""
-    request = read_head(relay, scope)
+async def serve_request(relay, scope, receive, send):
+    """Serve one request; it is cancelled at once when its caller disconnects."""
+    request = decode_head(relay, scope)
     reply = Reply(send, lambda: relay.is_leaving)
-    watch = _Watch(receive, reply)
+    watcher = _DisconnectWatcher(receive, reply)
     relay.active += 1
     relay.counters.add("requests")
-    error: Exception | None = CallerLeft()
+    error: Exception | None = CallerDisconnected()
     try:
         async with anyio.create_task_group() as group:
-            error = await answer(relay, request, reply, watch, group)
+            error = await answer_request(relay, request, reply, watcher, group)
             group.cancel_scope.cancel()
     finally:
         relay.active -= 1
-        note_end(relay, request, reply, error)
-    if isinstance(error, StreamCut):
-        # The server breaks the connection of an application that fails, so the part
-        # that was written doesn't look like a whole answer.
+        record_end(relay, request, reply, error)
+    if isinstance(error, StreamAborted):
+        # The server aborts the connection of an application that raises an error, so
+        # that the caller doesn't take the part that was sent for the whole answer.
         raise error
 
 
-async def answer(relay, request, reply, watch, group):
+async def answer_request(relay, request, reply, watcher, group):
     """Serve a request; return the error that ended it, or None."""
     try:
-        body = await read_body(relay, watch.receive)
-        group.start_soon(watch.run, group.cancel_scope)
-        await wait_for_first_news(relay, request)
+        body = await read_body(relay, watcher.receive)
+        group.start_soon(watcher.run, group.cancel_scope)
+        await wait_for_initial_state(relay, request)
         await serve_call(relay, make_call(relay, request, body), reply)
         return None
     except Refusal as refusal:
         return await refuse(relay, request, refusal, reply)
-    except (StreamCut, CallerLeft) as error:
+    except (StreamAborted, CallerDisconnected) as error:
         return error
     except Exception as fault:
-        # An unforeseen fault ends its own request and nothing else.
+        # An unexpected error must end only the request in which it occurred.
         relay.log.exception(
             "A request failed inside the node.", extra={"request": request.attempt_id}
         )
         relay.counters.add("requests.fault")
         if reply.is_started:
-            return StreamCut(repr(fault))
+            return StreamAborted(repr(fault))
         return await refuse(relay, request, Refusal(500, Cause.INTERNAL), reply)
 
 
-def read_head(relay, scope):
-    """Return the request that a connection's scope describes."""
+def decode_head(relay, scope):
+    """Return the request that an ASGI connection scope describes."""
     target = scope["raw_path"]
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
@@ -86,35 +86,35 @@
 
 
 async def read_body(relay, receive):
-    """Return the whole body.
+    """Return the whole body of a request.
 
     Raises
     ------
-    CallerLeft
-        If the caller left before it was sent.
+    CallerDisconnected
+        If the caller disconnected before the body was complete.
     Refusal
-        If it is too large.
+        If the body is too large.
     """
-    largest = relay.table.routing.limits.body_bytes if relay.table else 1 << 22
+    max_bytes = relay.table.routing.limits.body_bytes if relay.table else 1 << 22
     parts = []
     size = 0
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerLeft
+            raise CallerDisconnected
         parts.append(message.get("body", b""))
         size += len(parts[-1])
-        if size > largest:
+        if size > max_bytes:
             raise Refusal(413, Cause.BODY_TOO_LARGE)
         if not message.get("more_body", False):
             return b"".join(parts)
 
 
-class _Watch:
-    """Ends a request when its caller closes the connection.
+class _DisconnectWatcher:
+    """Cancels a request when its caller closes the connection.
 
-    Replicas would otherwise work on for nobody. The server tells of the same event
-    behind a complete answer, which ends by itself.
+    Replicas would otherwise continue to work on an answer that nobody reads. The server
+    reports a disconnect after a complete answer as well; such a request ends by itself.
     """
 
     def __init__(self, receive, reply):
@@ -122,7 +122,7 @@
         self.reply = reply
 
     async def run(self, scope):
-        """Wait for the caller to leave, then cancel the request."""
+        """Wait for the caller to disconnect, then cancel the request."""
         while (await self.receive())["type"] != "http.disconnect":
             continue
         if not self.reply.is_complete:
@@ -130,22 +130,28 @@
 
 
 async def refuse(relay, request, refusal, reply):
-    """Answer a request that no replica's answer goes to; return the refusal."""
+    """Answer a request on behalf of this node; return the refusal.
+
+    Returns
+    -------
+    Refusal or CallerDisconnected
+        The refusal, or the error if the caller disconnected before it was sent.
+    """
     headers = relay.adapter.encode_own_answer(
         request, retry_after_s=refusal.retry_after_s
     )
     body = msgspec.json.encode({"error": str(refusal.cause)})
     try:
-        await reply.give(refusal.status, headers, body)
-    except CallerLeft as left:
-        return left
+        await reply.send_whole(refusal.status, headers, body)
+    except CallerDisconnected as disconnected:
+        return disconnected
     return refusal
 
 
-def note_end(relay, request, reply, error):
-    """Count and log how a request ended."""
+def record_end(relay, request, reply, error):
+    """Count and log the outcome of a request."""
     now_s = read_clock()
-    if isinstance(error, CallerLeft):
+    if isinstance(error, CallerDisconnected):
         outcome = "caller_left"
     elif isinstance(error, Refusal):
         outcome = f"refused.{error.status}.{error.cause}"
@@ -171,13 +177,13 @@
 
 
 def make_readiness(relay):
-    """Return the application that tells the balancer whether to send callers."""
+    """Return the ASGI application that tells the load balancer of readiness."""
 
     async def readiness(scope, receive, send):
         if scope["type"] != "http":
             return
-        known = scope["path"] == relay.adapter.READY_PATH
-        ready = known and relay.is_ready(now_s=read_clock())
-        await Reply(send, lambda: False).give(200 if ready else 503, [], b"")
+        is_ready_path = scope["path"] == relay.adapter.READY_PATH
+        ready = is_ready_path and relay.is_ready(now_s=read_clock())
+        await Reply(send, lambda: False).send_whole(200 if ready else 503, [], b"")
 
     return readiness
--- a/lycheetide/relay/_outcomes.py
+++ b/lycheetide/relay/_outcomes.py
@@ -1,10 +1,10 @@
-"""How one attempt at one replica ends without its answer."""
+"""How an attempt or a request ends without an answer of a replica."""
 
 from enum import StrEnum
 
 
 class Cause(StrEnum):
-    """Why an attempt or a request ended without an answer; each has a counter."""
+    """Why an attempt or a request ended without an answer; each cause has a counter."""
 
     NOT_READY = "not_ready"
     NO_ROUTE = "no_route"
@@ -26,18 +26,18 @@
 
 
 class AttemptFailed(Exception):
-    """An attempt brought no answer.
+    """An attempt at one replica brought no answer.
 
     Parameters
     ----------
     cause : Cause
-        Why.
+        Why it failed.
     message : str
-        For the log.
+        Detail for the log.
     may_have_run : bool
-        Whether the replica may have begun.
+        Whether the replica may have started to run the request.
     names_helper : bool
-        Whether the replica refused it for a helper that it named.
+        Whether the replica refused the request because of a helper that it named.
     """
 
     def __init__(self, cause, message, *, may_have_run, names_helper=False):
@@ -48,16 +48,18 @@
 
 
 class Refusal(Exception):
-    """A request that ends with an answer of this node's own.
+    """A request that this node answers itself, instead of a replica.
 
     Parameters
     ----------
     status : int
-        HTTP status; 503 only where nothing has run and nothing will.
+        HTTP status; 503 only if the request hasn't run at any replica and won't.
     cause : Cause
-        Why.
+        Why it is refused.
     retry_after_s : float or None
-        When asking again may help.
+        Delay after which a retry may succeed, in seconds.
+    message : str
+        Detail for the log; the cause if empty.
     """
 
     def __init__(self, status, cause, *, retry_after_s=None, message=""):
@@ -67,12 +69,13 @@
         self.retry_after_s = retry_after_s
 
 
-class StreamCut(Exception):
-    """A stream that has begun can't go on; its connection is broken, not ended.
+class StreamAborted(Exception):
+    """A stream that has begun can't continue, and its connection must be aborted.
 
-    An orderly end would let a part of an answer look like the whole.
+    If the connection were closed in an orderly way, the caller could take a part of
+    the answer for the whole.
     """
 
 
-class CallerLeft(Exception):
-    """The caller has closed its connection; nobody reads the answer."""
+class CallerDisconnected(Exception):
+    """The caller has closed its connection and won't read the answer."""
--- a/lycheetide/relay/_patience.py
+++ b/lycheetide/relay/_patience.py
@@ -1,141 +1,147 @@
-"""How long a replica that says nothing is waited for.
+"""Decide how long to wait for a silent replica.
 
-Silence alone is no reason to end an attempt. A replica that reads a long prompt lets
-all that it writes wait, and goes on; its answer may be the only one that the caller can
-still get.
+Silence alone is no reason to end an attempt. A replica that reads a long prompt sends
+nothing for any of its requests meanwhile, and continues afterwards; its answer may be
+the only one that the caller can still get.
 """
 
 from lycheetide.placement import caller_patience_s
 from lycheetide.relay._evidence import suspect
-from lycheetide.relay._retries import prepare_successor
+from lycheetide.relay._retries import prepare_next_attempt
 from lycheetide.relay._state import read_clock
 
-SILENCE_S = 0.7
-"""Silence of a replica beyond what was expected of it after which it is asked whether
-others hear from it: a pass with much reading in it takes up to half a second."""
-PATIENCE = 0.6
-"""Part of the time that a caller waits for an event after which another replica is
-tried even if this one is alive; the rest is for the other one's first event."""
-EVENT_NEEDS_S = 0.15
-"""What another attempt needs at least to bring an event."""
-EVIDENCE_S = 0.3
-"""Peers tell within this time which replicas they hear."""
-LOOK_AGAIN_S = 0.25
-"""Pause between two looks for a replica that can take over; doubles with each one that
-was found and didn't."""
-LONGEST_LOOK_S = 2.0
-
-
-def make_stream_patience(relay, call, listener, race):
-    """Return a function that tells how much longer a silent stream is waited for.
-
-    A replica that this node or a peer heard lately is alive and only busy: it gets
-    until shortly before the caller gives up. So does one that reads long prompts, which
-    nobody hears either; taken for dead it would do all its work again elsewhere. Any
-    other is taken for dead at once.
-
-    Then another replica is tried beside it. Where none can be, a stream that has begun
-    stays where it is until its caller leaves or its time is up, and so does any whose
-    replica is alive. One that hasn't begun at a replica taken for dead is given up, so
-    that its caller is answered at once.
+SILENCE_MARGIN_S = 0.7
+"""How long a replica may be silent beyond the expected time before another replica is
+considered. A pass with much reading in it takes up to half a second."""
+HEDGE_SHARE = 0.6
+"""Share of the caller's patience after which another replica is tried even if the
+silent one is alive. The rest is left for the other replica's first event."""
+MIN_STREAM_ATTEMPT_S = 0.15
+"""Shortest remaining time in which another attempt can bring an event."""
+PEER_REPORT_S = 0.3
+"""Time within which peers report the replicas that answered them."""
+RECHECK_S = 0.25
+"""Interval at which a silent attempt looks for a replica that can take over. It doubles
+with each replica that was found and tried without success."""
+MAX_RECHECK_S = 2.0
+
+
+def make_stream_timeout_extension(relay, call, stream_attempt, hedged_attempts):
+    """Return a function that tells how much longer to wait for a silent stream.
+
+    A replica from which this node or a peer received something recently is alive and
+    only busy: it may be silent until shortly before the caller gives up. So may a
+    replica that reads long prompts, from which nobody receives anything either; if it
+    were taken for dead, all its work would be done again elsewhere. Any other silent
+    replica is taken for dead at once.
+
+    When that time is over, a hedged attempt is started at another replica. If none is
+    available, a stream that has begun continues to wait until its caller disconnects or
+    its deadline passes, and so does any stream whose replica is alive. A stream that
+    hasn't begun, at a replica taken for dead, is given up, so that its caller is
+    answered at once.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
-        The stream's request.
-    listener : Listener
-        The attempt.
-    race : Race
-        The attempts that run beside it.
+        The request of the stream.
+    stream_attempt : StreamAttempt
+        The attempt that may be silent.
+    hedged_attempts : HedgedAttempts
+        All running attempts at this stream.
 
     Returns
     -------
     callable
-        Returns seconds; 0 ends the attempt.
+        Takes nothing and returns the extension in seconds; 0 ends the attempt.
     """
-    waits_s = caller_patience_s(call.route.target_latency_s, call.route.target_gap_s)
-    note_stay = make_stay_log(relay, call, listener.replica)
-    rivals = 0
+    patience_s = caller_patience_s(call.route.target_latency_s, call.route.target_gap_s)
+    record_stay = make_stay_recorder(relay, call, stream_attempt.replica)
+    hedges = 0
 
     def more():
-        nonlocal rivals
+        nonlocal hedges
         now_s = read_clock()
-        alive_s = find_alive_s(relay, listener.replica, now_s=now_s)
-        wait_s = min(listener.at_s + PATIENCE * waits_s - now_s, alive_s)
+        liveness_s = find_liveness_s(relay, stream_attempt.replica, now_s=now_s)
+        wait_s = min(stream_attempt.at_s + HEDGE_SHARE * patience_s - now_s, liveness_s)
         if wait_s > 0:
             return wait_s
-        if not race.is_alone:
-            return LOOK_AGAIN_S
-        hindrance = prepare_successor(relay, call, needs_s=EVENT_NEEDS_S, now_s=now_s)
-        if hindrance is None:
-            if rivals == 0:
-                note_rival(relay, call, listener.replica)
-            rivals += 1
-            race.start()
-            return min(LONGEST_LOOK_S, LOOK_AGAIN_S * 2**rivals)
-        elif call.is_begun or alive_s > 0:
-            note_stay(hindrance)
+        if not hedged_attempts.is_single:
+            return RECHECK_S
+        denial = prepare_next_attempt(
+            relay, call, min_attempt_s=MIN_STREAM_ATTEMPT_S, now_s=now_s
+        )
+        if denial is None:
+            if hedges == 0:
+                record_hedge(relay, call, stream_attempt.replica)
+            hedges += 1
+            hedged_attempts.start()
+            return min(MAX_RECHECK_S, RECHECK_S * 2**hedges)
+        elif call.is_begun or liveness_s > 0:
+            record_stay(denial)
         else:
             return 0.0
-        return LOOK_AGAIN_S
+        return RECHECK_S
 
     return more
 
 
-def make_answer_patience(relay, call, replica, *, needs_s):
-    """Return a function that tells how much longer a short answer is waited for.
+def make_answer_timeout_extension(relay, call, replica, *, min_attempt_s):
+    """Return a function that tells how much longer to wait for a short answer.
 
-    Another replica is asked where one can be. Where none can, a living one is waited
-    for until the caller's time is up.
+    Another replica is tried if one is available. If none is, the request waits for a
+    live replica until the caller's deadline.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The request.
     replica : str
-        Where it was sent.
-    needs_s : float
-        What another attempt would take.
+        The replica that it was sent to.
+    min_attempt_s : float
+        Shortest remaining time in which another attempt is worth starting.
 
     Returns
     -------
     callable
-        Returns seconds; 0 ends the attempt.
+        Takes nothing and returns the extension in seconds; 0 ends the attempt.
     """
-    note_stay = make_stay_log(relay, call, replica)
+    record_stay = make_stay_recorder(relay, call, replica)
 
     def more():
         now_s = read_clock()
-        is_alive = find_alive_s(relay, replica, now_s=now_s) > 0
-        hindrance = prepare_successor(relay, call, needs_s=needs_s, now_s=now_s)
-        if hindrance is None or not is_alive:
+        is_alive = find_liveness_s(relay, replica, now_s=now_s) > 0
+        denial = prepare_next_attempt(
+            relay, call, min_attempt_s=min_attempt_s, now_s=now_s
+        )
+        if denial is None or not is_alive:
             return 0.0
-        note_stay(hindrance)
-        return LOOK_AGAIN_S
+        record_stay(denial)
+        return RECHECK_S
 
     return more
 
 
-def find_alive_s(relay, replica, *, now_s):
+def find_liveness_s(relay, replica, *, now_s):
     """Return for how much longer a silent replica counts as alive.
 
     Returns
     -------
     float
-        Seconds, infinite where this node or a peer heard it lately, at most 0 where it
-        counts as dead.
+        Seconds; infinite if this node or a peer received something from the replica
+        recently, at most 0 if it counts as dead.
     """
-    if relay.trust.heard_s(replica) >= now_s - EVIDENCE_S - SILENCE_S:
+    if relay.trust.heard_s(replica) >= now_s - PEER_REPORT_S - SILENCE_MARGIN_S:
         return float("inf")
-    return relay.board.column(replica).busy_until_s + SILENCE_S - now_s
+    return relay.board.column(replica).busy_until_s + SILENCE_MARGIN_S - now_s
 
 
-def note_rival(relay, call, replica):
-    """Note that a stream goes to a second replica while it stays at a silent one."""
+def record_hedge(relay, call, replica):
+    """Suspect a silent replica, and count and log a hedged attempt at another one."""
     suspect(relay, replica, "silent")
     relay.counters.add("retries.silent")
     relay.log.info(
@@ -149,25 +155,25 @@
     )
 
 
-def make_stay_log(relay, call, replica):
-    """Return a function that notes once that a request stays at a silent replica."""
-    is_noted = False
+def make_stay_recorder(relay, call, replica):
+    """Return a function that records once that a request stays at a silent replica."""
+    is_recorded = False
 
-    def note_stay(hindrance):
-        nonlocal is_noted
-        if is_noted:
+    def record_stay(denial):
+        nonlocal is_recorded
+        if is_recorded:
             return
-        is_noted = True
+        is_recorded = True
         suspect(relay, replica, "silent")
-        relay.counters.add(f"stayed.{hindrance}")
+        relay.counters.add(f"stayed.{denial}")
         relay.log.info(
             "A request stays at a silent replica.",
             extra={
                 "request": call.request.attempt_id,
                 "replica": replica,
-                "why": str(hindrance),
+                "why": str(denial),
                 "sent": call.sent,
             },
         )
 
-    return note_stay
+    return record_stay
--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_place.py
@@ -1,4 +1,4 @@
-"""Choose where a call goes now, within cold limits and the retry budget."""
+"""Choose the replica for a call, within the cold limits and the retry budget."""
 
 import anyio
 
@@ -18,17 +18,18 @@
 from lycheetide.relay._state import read_clock
 from lycheetide.routes import ANY_ENGINE
 
-COME_BACK_S = 0.5
-"""When to ask again where no replica takes work: a registry's news come within 1 s."""
-WAIT_S = 0.04
-"""Pause before a call looks again for a place."""
-WAIT_TARGETS = 0.5
-"""Part of its target for which a call waits for a place; one that comes later than
-that is refused, so that its caller can come back in time."""
+DEFAULT_RETRY_DELAY_S = 0.5
+"""Delay in the Retry-After header when no replica takes work: changes in the registry
+arrive within 1 s."""
+PLACEMENT_POLL_S = 0.04
+"""Interval at which a waiting call looks for a placement again."""
+MAX_WAIT_SHARE = 0.5
+"""Longest wait for a placement, as a share of the target time of the first event. A
+call that waited longer is refused, so that its caller can retry in time."""
 
 
 def pick_service(relay, route):
-    """Return the service that a route's weights give this request to."""
+    """Draw the service for a request at random, by the weights of its route."""
     shares = route.shares
     if len(shares) == 1:
         return shares[0].service
@@ -41,8 +42,22 @@
 ):
     """Tell whether one more request may go to a replica within its cold limit.
 
-    ``find_allowance`` tells this node's share among ``nodes``, as of
-    ``share_cold_limits``.
+    Parameters
+    ----------
+    relay : RelayState
+        The state of this node.
+    service : Service
+        The service of the replica.
+    candidate : Candidate
+        The replica.
+    find_allowance : callable
+        Returns this node's share of a cold limit, as made by ``share_cold_limits``.
+    now_s : float
+        The present time.
+    nodes : int, default=1
+        Number of nodes that may send to the replica, this one included.
+    is_last_resort : bool, default=False
+        Whether the call would be refused otherwise; see ``may_send``.
     """
     limit = service.cold_requests_per_s
     if limit <= 0:
@@ -50,7 +65,8 @@
     own_starts = relay.own_starts(candidate.id, START_WINDOW_S, now_s=now_s)
     all_starts = relay.board.starts_within(candidate.id, START_WINDOW_S, now_s=now_s)
     if not (candidate.is_cold or own_starts or all_starts):
-        # Most of a large fleet's replicas; the shares of each would cost the most.
+        # True of most replicas in a large fleet. Skips the computation of this node's
+        # share for each of them, which would dominate the cost of a placement.
         return True
     return may_send(
         limit,
@@ -65,14 +81,14 @@
 
 
 def list_candidates(relay, call):
-    """Return the replicas that may get a call now.
+    """Return the replicas that a call may be sent to at present.
 
     Returns
     -------
-    open_now : list of Candidate
-        Those within their cold limits.
+    admissible : list of Candidate
+        Replicas within their cold limits.
     usable : list of Candidate
-        All that take work.
+        All replicas that take work.
     """
     relay.take_news()
     now_s = read_clock()
@@ -83,7 +99,7 @@
     living = relay.living_nodes(now_s=now_s)
     find_allowance = share_cold_limits(relay.node, living)
     for is_last_resort in (False, True):
-        open_now = [
+        admissible = [
             one
             for one in usable
             if is_open(
@@ -96,26 +112,27 @@
                 is_last_resort=is_last_resort,
             )
         ]
-        if open_now:
+        if admissible:
             break
-    return open_now, usable
+    return admissible, usable
 
 
 def find_place(relay, call, candidates, *, now_s):
-    """Return where a call goes, or None."""
+    """Return the placement for a call, or None if there is none."""
     if not call.size.prompt_tokens:
         return choose_plain(candidates)
     engine = call.service.engine or ANY_ENGINE
-    # A replica refuses a prompt if one of its helpers is leaving, which the others may
-    # not know yet while the store is out. Helped again, it would be refused again.
+    # A replica refuses a prompt if one of its helpers is shutting down. Other nodes may
+    # not know that yet while the store is unavailable, so a second attempt with helpers
+    # would be refused as well.
     return choose_prompt(
         engine,
         call.size,
         candidates,
         target_s=call.route.target_latency_s,
-        left_s=find_due_s(call) - now_s,
+        left_s=find_first_event_due_s(call) - now_s,
         patience_s=find_patience_s(call),
-        arrivals=count_arrivals(relay, call, candidates, now_s=now_s),
+        arrivals=estimate_arrivals(relay, call, candidates, now_s=now_s),
         helpers_most=0 if call.helpers_refused else HELPERS_MOST,
         unknown=count_unknown(
             relay.board.starts_per_s(now_s=now_s),
@@ -126,8 +143,8 @@
     )
 
 
-def count_arrivals(relay, call, candidates, *, now_s):
-    """Return what comes to a call's service meanwhile."""
+def estimate_arrivals(relay, call, candidates, *, now_s):
+    """Return the request rate and the shortest target of a call's service."""
     starts = sum(
         relay.board.starts_within(one.id, START_WINDOW_S, now_s=now_s)
         for one in candidates
@@ -136,38 +153,38 @@
     return Arrivals(starts / START_WINDOW_S, target_s)
 
 
-def has_place(relay, call, *, now_s):
-    """Tell whether a replica would take a call now."""
-    open_now, _ = list_candidates(relay, call)
-    return is_worthwhile(call, find_place(relay, call, open_now, now_s=now_s))
+def has_placement(relay, call, *, now_s):
+    """Tell whether a replica would take a call at present."""
+    admissible, _ = list_candidates(relay, call)
+    return is_worthwhile(call, find_place(relay, call, admissible, now_s=now_s))
 
 
-def find_due_s(call):
-    """Return when the first event of a call's answer is wanted."""
+def find_first_event_due_s(call):
+    """Return the time at which the first event of a call's answer is due."""
     return call.request.received_s + call.route.target_latency_s
 
 
 def find_patience_s(call):
-    """Return how long a call's caller waits for an event, in seconds."""
+    """Return how long the caller of a call waits for the next event, in seconds."""
     return caller_patience_s(call.route.target_latency_s, call.route.target_gap_s)
 
 
-async def choose(relay, call, *, wait_s):
-    """Return where a call goes.
+async def choose_placement(relay, call, *, wait_s):
+    """Return a placement for a call, waiting for one if necessary.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The call.
     wait_s : float
-        How long it may look for a place, as ``find_place_wait_s`` tells.
+        Longest wait for a placement, as returned by ``find_placement_wait_s``.
 
     Raises
     ------
     Refusal
-        If no replica takes it in time.
+        If no replica takes the call in time.
     """
     begun_s = read_clock()
     while True:
@@ -175,60 +192,60 @@
         placement = find_place(relay, call, candidates, now_s=read_clock())
         if is_worthwhile(call, placement):
             return placement
-        is_hopeless = not usable and not call.is_begun
-        if is_hopeless or read_clock() - begun_s >= wait_s:
-            raise refuse_place(relay, call, placement, candidates)
-        await anyio.sleep(WAIT_S)
+        is_unservable = not usable and not call.is_begun
+        if is_unservable or read_clock() - begun_s >= wait_s:
+            raise make_placement_refusal(relay, call, placement, candidates)
+        await anyio.sleep(PLACEMENT_POLL_S)
 
 
-def find_place_wait_s(call):
-    """Return how long a call looks for a place, in seconds.
+def find_placement_wait_s(call):
+    """Return how long a call waits for a placement, in seconds.
 
-    Before it has begun that is a moment: a cold replica takes more soon, or memory
-    becomes free. Afterwards its caller can't be told to come back, so it looks for as
-    long as its caller waits for an event.
+    Before any of the answer was sent, the wait is short: a cold replica soon takes more
+    requests, or memory becomes free. Afterwards the caller can't be asked to retry, so
+    the call waits for as long as the caller waits for an event.
     """
     if call.is_begun:
         return find_patience_s(call)
-    return WAIT_TARGETS * call.route.target_latency_s
+    return MAX_WAIT_SHARE * call.route.target_latency_s
 
 
 def is_worthwhile(call, placement):
-    """Tell whether a call should take a place, or None for no place, now.
+    """Tell whether a call should use a placement; False if there is none.
 
-    A stream that has begun takes any. Its caller has a part of the answer, and can't be
-    told to come back: without a place the connection would be broken off.
+    A stream that has begun takes any placement. Its caller has a part of the answer and
+    can't be asked to retry: without a placement the connection would be aborted.
     """
     if placement is None:
         return False
     return call.is_begun or placement.is_worthwhile(find_patience_s(call))
 
 
-def refuse_place(relay, call, placement, candidates):
-    """Return the refusal of a call that found no place, and log what decided it."""
+def make_placement_refusal(relay, call, placement, candidates):
+    """Log why a call got no placement, and return its refusal."""
     if placement is not None:
         cause = Cause.NO_ROOM
     else:
         cause = Cause.NO_MEMORY if candidates else Cause.NO_REPLICA
     waits_s = placement.waits_s if placement is not None else 0.0
     harm = placement.harm if placement is not None else 0.0
-    come_back_s = max(COME_BACK_S, waits_s)
+    retry_delay_s = max(DEFAULT_RETRY_DELAY_S, waits_s)
     if placement is not None and harm > placement.worth:
-        come_back_s = max(come_back_s, call.route.target_latency_s)
+        retry_delay_s = max(retry_delay_s, call.route.target_latency_s)
     relay.log.info(
         "A request finds no place.",
         extra={"request": call.request.attempt_id, "cause": str(cause),
                "open_replicas": len(candidates), "waits_ms": round(waits_s * 1e3),
                "harm": round(harm, 1), "sent": call.sent},
     )  # fmt: skip
-    return make_refusal(call, cause, come_back_s=come_back_s)
+    return make_refusal(call, cause, retry_delay_s=retry_delay_s)
 
 
-def make_refusal(call, cause, *, message="", come_back_s=COME_BACK_S):
-    """Return the final answer of a call that brought none.
+def make_refusal(call, cause, *, message="", retry_delay_s=DEFAULT_RETRY_DELAY_S):
+    """Return the final answer to a call that failed.
 
-    Only a call that no replica can have begun is told that it hasn't run.
+    Only a call that no replica can have started is reported as not run (status 503).
     """
     if call.may_have_run:
         return Refusal(502, cause, message=message)
-    return Refusal(503, cause, retry_after_s=come_back_s, message=message)
+    return Refusal(503, cause, retry_after_s=retry_delay_s, message=message)
--- a/lycheetide/relay/_race.py
+++ b/lycheetide/relay/_race.py
@@ -1,4 +1,4 @@
-"""Attempts at one stream that run side by side."""
+"""Hedged attempts: attempts at one stream that run concurrently."""
 
 from typing import Any
 
@@ -7,19 +7,20 @@
 from lycheetide.relay._outcomes import AttemptFailed, Refusal
 
 
-class Race:
-    """The attempts at one stream that run at the same time.
+class HedgedAttempts:
+    """The attempts at one stream that run concurrently.
 
-    A silent replica may be dead or only busy, and its node can't tell which. So its
-    attempt goes on beside that of its successor, and the first that brings an event
-    ends the others. Ended before that, a replica that would have gone on is lost where
-    its successor refuses the request, breaks off or is silent too.
+    A silent replica may be dead or only busy, and the node can't tell which. So its
+    attempt continues while another replica is tried, and the first attempt that
+    receives an event cancels the others. If the silent attempt were cancelled earlier,
+    a stream that would have continued would be lost whenever the other replica refuses
+    the request, breaks off or is silent too.
 
     Parameters
     ----------
     make_attempt : callable
-        A coroutine function that makes one attempt; it gets this race and the cancel
-        scope that stands for the attempt.
+        A coroutine function that makes one attempt. Takes this object and the cancel
+        scope of the attempt.
     """
 
     def __init__(self, make_attempt):
@@ -31,18 +32,18 @@
         self._error: Exception | None = None
 
     @property
-    def is_alone(self):
-        """Whether no more than one attempt is running."""
+    def is_single(self):
+        """Whether at most one attempt is running."""
         return len(self._running) <= 1
 
     async def run(self):
-        """Make attempts until one is finished or none is left.
+        """Make attempts until one is complete or none is left.
 
         Returns
         -------
         AttemptFailed, Refusal or None
-            How the last attempt failed, or else why none had a place; None if one was
-            finished.
+            How the last attempt failed, or else why none got a placement; None if one
+            was complete.
         """
         async with anyio.create_task_group() as self._group:
             self.start()
@@ -51,18 +52,24 @@
         return None if self._is_finished else self._failure
 
     def start(self):
-        """Make one more attempt beside those that are running."""
+        """Start one more attempt beside those that are running."""
         scope = anyio.CancelScope()
         self._running.add(scope)
-        self._group.start_soon(self._run_one, scope)
+        self._group.start_soon(self._run_attempt, scope)
 
-    def lead(self, scope):
-        """End all attempts but one."""
+    def cancel_others(self, scope):
+        """Cancel all attempts but one.
+
+        Parameters
+        ----------
+        scope : anyio.CancelScope
+            The scope of the attempt that continues.
+        """
         for other in self._running - {scope}:
             other.cancel()
 
-    async def _run_one(self, scope):
-        """Make one attempt; an error that is no failure of it ends the race."""
+    async def _run_attempt(self, scope):
+        """Make one attempt; an unexpected error cancels all of them."""
         try:
             with scope:
                 await self._make_attempt(self, scope)
--- a/lycheetide/relay/_reply.py
+++ b/lycheetide/relay/_reply.py
@@ -1,74 +1,80 @@
-"""The answer to a caller, as it goes out."""
+"""Write the answer to a caller."""
 
-from lycheetide.relay._outcomes import CallerLeft
+from lycheetide.relay._outcomes import CallerDisconnected
 
 
 class Reply:
-    """Writes one answer.
+    """Writes one answer to the ASGI server.
 
     Parameters
     ----------
     send : callable
-        The server's function that takes a message.
-    closes : callable
-        Tells whether the connection should end behind this answer.
+        The ASGI ``send`` function.
+    closes_connection : callable
+        Returns whether the connection should be closed after this answer.
     """
 
-    def __init__(self, send, closes):
+    def __init__(self, send, closes_connection):
         self._send = send
-        self._closes = closes
+        self._closes_connection = closes_connection
         self.is_started = False
         self.is_complete = False
         self.status = 0
         self.notes = {}
 
     def note(self, **fields):
-        """Keep what the log's line on the request's end should show."""
+        """Add fields to the log line that is written at the end of the request."""
         self.notes.update(fields)
 
     async def start(self, status, headers, *, length=None):
-        """Write the head.
+        """Write the head of the answer.
 
         Parameters
         ----------
         status : int
             HTTP status.
         headers : list of (bytes, bytes)
-            Headers that concern more than this connection.
+            Headers of the answer, without hop-by-hop ones.
         length : int or None
-            Length of the body; None for one that ends by itself.
+            Length of the body in bytes; None if it isn't known in advance.
         """
         headers = list(headers)
         if length is not None:
             headers.append((b"content-length", str(length).encode()))
-        if self._closes():
+        if self._closes_connection():
             headers.append((b"connection", b"close"))
         self.is_started = True
         self.status = status
-        await self._pass(
+        await self._send_message(
             {"type": "http.response.start", "status": status, "headers": headers}
         )
 
     async def write(self, data):
         """Write a part of the body."""
-        await self._pass(
+        await self._send_message(
             {"type": "http.response.body", "body": data, "more_body": True}
         )
 
     async def end(self):
-        """End a complete body."""
+        """Mark the answer as complete and end its body."""
         self.is_complete = True
-        await self._pass({"type": "http.response.body", "body": b""})
+        await self._send_message({"type": "http.response.body", "body": b""})
 
-    async def give(self, status, headers, body):
-        """Write a whole answer."""
+    async def send_whole(self, status, headers, body):
+        """Write a complete answer."""
         await self.start(status, headers, length=len(body))
         self.is_complete = True
-        await self._pass({"type": "http.response.body", "body": body})
+        await self._send_message({"type": "http.response.body", "body": body})
 
-    async def _pass(self, message):
-        """Hand a message to the server."""
+    async def _send_message(self, message):
+        """Pass a message to the ASGI server.
+
+        Raises
+        ------
+        CallerDisconnected
+            If the caller's connection is closed.
+        """
         try:
             await self._send(message)
         except OSError as error:
-            raise CallerLeft from error
+            raise CallerDisconnected from error
--- a/lycheetide/relay/_retries.py
+++ b/lycheetide/relay/_retries.py
@@ -1,13 +1,13 @@
-"""Decide whether a call goes to one more replica."""
+"""Decide whether a call may be sent to one more replica."""
 
 from enum import StrEnum
 
-from lycheetide.relay._place import has_place
+from lycheetide.relay._place import has_placement
 from lycheetide.relay._state import read_clock
 
 
-class Hindrance(StrEnum):
-    """Why a call may not go to another replica; each has a counter."""
+class RetryDenial(StrEnum):
+    """Why a call may not be sent to another replica; each reason has a counter."""
 
     NOT_REPEATABLE = "not_repeatable"
     NO_TIME = "no_time"
@@ -16,29 +16,31 @@
     NO_PLACE = "no_place"
 
 
-def may_try_again(relay, call, *, needs_s):
-    """Tell whether a call may go to one more replica, and take that from the budget.
+def claim_retry(relay, call, *, min_attempt_s):
+    """Tell whether a call may be sent to one more replica, and charge the retry budget.
+
+    A denial is counted and logged.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The call.
-    needs_s : float
-        What another attempt would take.
+    min_attempt_s : float
+        Shortest remaining time in which another attempt is worth starting.
     """
-    hindrance = find_own_hindrance(call, needs_s=needs_s, now_s=read_clock())
-    if hindrance is None and not take_retry(relay, call):
-        hindrance = Hindrance.NO_BUDGET
-    if hindrance is None:
+    denial = find_request_denial(call, min_attempt_s=min_attempt_s, now_s=read_clock())
+    if denial is None and not ensure_retry(relay, call):
+        denial = RetryDenial.NO_BUDGET
+    if denial is None:
         return True
-    relay.counters.add(f"not_retried.{hindrance}")
+    relay.counters.add(f"not_retried.{denial}")
     relay.log.info(
         "A request isn't tried again.",
         extra={
             "request": call.request.attempt_id,
-            "why": str(hindrance),
+            "why": str(denial),
             "sent": call.sent,
             "may_have_run": call.may_have_run,
             "is_begun": call.is_begun,
@@ -47,51 +49,54 @@
     return False
 
 
-def prepare_successor(relay, call, *, needs_s, now_s):
-    """Take the retry for an attempt that follows one that is still running.
+def prepare_next_attempt(relay, call, *, min_attempt_s, now_s):
+    """Charge the retry budget for an attempt that follows one that is still running.
 
     Returns
     -------
-    Hindrance or None
-        Why no other replica can take the call over; then no retry is taken.
+    RetryDenial or None
+        Why no other replica can take over the call, in which case the budget isn't
+        charged; None if one can.
     """
-    # The running attempt may have begun its work, whether its head has come or not.
+    # The replica of the running attempt may have started work even if the head of its
+    # answer hasn't arrived.
     if not call.route.is_repeatable:
-        return Hindrance.NOT_REPEATABLE
-    hindrance = find_own_hindrance(call, needs_s=needs_s, now_s=now_s)
-    if hindrance is not None:
-        return hindrance
-    if not has_retry(relay, call, now_s=now_s):
-        return Hindrance.NO_BUDGET
-    if not has_place(relay, call, now_s=now_s):
-        return Hindrance.NO_PLACE
-    take_retry(relay, call)
+        return RetryDenial.NOT_REPEATABLE
+    denial = find_request_denial(call, min_attempt_s=min_attempt_s, now_s=now_s)
+    if denial is not None:
+        return denial
+    if not is_retry_available(relay, call, now_s=now_s):
+        return RetryDenial.NO_BUDGET
+    if not has_placement(relay, call, now_s=now_s):
+        return RetryDenial.NO_PLACE
+    ensure_retry(relay, call)
     return None
 
 
-def find_own_hindrance(call, *, needs_s, now_s):
-    """Return which limit of its own keeps a call from another replica, or None."""
+def find_request_denial(call, *, min_attempt_s, now_s):
+    """Return which limit of the request itself forbids another attempt, or None."""
     if call.may_have_run and not call.route.is_repeatable:
-        return Hindrance.NOT_REPEATABLE
-    if call.left_s(now_s=now_s) <= needs_s:
-        return Hindrance.NO_TIME
+        return RetryDenial.NOT_REPEATABLE
+    if call.remaining_s(now_s=now_s) <= min_attempt_s:
+        return RetryDenial.NO_TIME
     if call.sent >= call.route.max_attempts:
-        return Hindrance.NO_ATTEMPTS
+        return RetryDenial.NO_ATTEMPTS
     return None
 
 
-def has_retry(relay, call, *, now_s):
-    """Tell whether a call's next attempt is within the budget."""
+def is_retry_available(relay, call, *, now_s):
+    """Tell whether the retry budget allows a call's next attempt."""
     if call.sent == 0 or call.has_retry:
         return True
     nodes = len(relay.living_nodes(now_s=now_s))
     return relay.retries(call.service.name).has_left(nodes, now_s=now_s)
 
 
-def take_retry(relay, call):
-    """Take a call's next retry from the budget, once; tell whether it has one.
+def ensure_retry(relay, call):
+    """Tell whether a call has a retry for its next attempt, taking one if necessary.
 
-    It is kept until the call is sent, so a replica that can't be reached uses up none.
+    The retry is kept until the call is sent, so that an attempt at an unreachable
+    replica uses none of the budget.
     """
     if call.sent > 0 and not call.has_retry:
         call.has_retry = spend_retry(relay, call)
@@ -99,7 +104,7 @@
 
 
 def spend_retry(relay, call):
-    """Take one retry from the budget of a call's service, if there is one left."""
+    """Take one retry from the budget of a call's service; tell whether one was left."""
     now_s = read_clock()
     nodes = len(relay.living_nodes(now_s=now_s))
     return relay.retries(call.service.name).spend(nodes, now_s=now_s)
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -1,4 +1,7 @@
-"""Serve a stream: whole events, at once, and on from where a replica broke off."""
+"""Serve a stream of events, and resume it at another replica if one breaks off.
+
+Events are forwarded whole and as soon as they arrive.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -7,152 +10,164 @@
 
 from lycheetide.httpclient import ChannelBroken
 from lycheetide.placement import CALLER_WAITS_S, pass_s
-from lycheetide.relay._attempt import announced, make_failure, open_attempt
+from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._events import EventSplitter
 from lycheetide.relay._evidence import note_failure
-from lycheetide.relay._outcomes import AttemptFailed, Cause, StreamCut
-from lycheetide.relay._patience import EVENT_NEEDS_S, SILENCE_S, make_stream_patience
-from lycheetide.relay._place import choose, find_place_wait_s, make_refusal
-from lycheetide.relay._race import Race
-from lycheetide.relay._retries import may_try_again
+from lycheetide.relay._outcomes import AttemptFailed, Cause, StreamAborted
+from lycheetide.relay._patience import (
+    MIN_STREAM_ATTEMPT_S,
+    SILENCE_MARGIN_S,
+    make_stream_timeout_extension,
+)
+from lycheetide.relay._place import (
+    choose_placement,
+    find_placement_wait_s,
+    make_refusal,
+)
+from lycheetide.relay._race import HedgedAttempts
+from lycheetide.relay._retries import claim_retry
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._tickets import NoMemory, hold_memory
+from lycheetide.relay._tickets import MemoryUnavailable, reserve_memory
 from lycheetide.routes import ANY_ENGINE
 
 
 @dataclass
 class Progress:
-    """How far a stream has come.
+    """How much of a stream was forwarded to the caller.
 
     Parameters
     ----------
     last_id : bytes
-        Id of the last event that was passed on.
+        Id of the last event that was forwarded.
     last_number : int or None
-        The same as a number.
+        The same id as a number; None if it isn't one.
     events : int
-        Events passed on.
-    passed_s : float
-        When the last of them was.
-    first_s : float
-        Time from the request to the first of them.
+        Number of events forwarded.
+    forwarded_s : float
+        Time at which the last event was forwarded.
+    first_event_s : float
+        Time from the request to the first event, in seconds.
     longest_pause_s : float
-        Longest time between two of them.
+        Longest time between two events, in seconds.
     longest_pause_at_s : float
-        When it ended, from when the request came.
-    writing : anyio.Lock
-        Held while something is passed on, since attempts may run side by side.
+        End of the longest pause, in seconds since the request arrived.
+    write_lock : anyio.Lock
+        Held while writing to the caller, since attempts may run concurrently.
     """
 
     last_id: bytes = b""
     last_number: int | None = None
     events: int = 0
-    passed_s: float = 0.0
-    first_s: float = 0.0
+    forwarded_s: float = 0.0
+    first_event_s: float = 0.0
     longest_pause_s: float = 0.0
     longest_pause_at_s: float = 0.0
-    writing: anyio.Lock = field(default_factory=anyio.Lock)
+    write_lock: anyio.Lock = field(default_factory=anyio.Lock)
 
 
 @dataclass
-class Listener:
-    """One attempt at a stream, as far as it has come.
+class StreamAttempt:
+    """The progress of one attempt at a stream.
 
     Parameters
     ----------
     replica : str
-        Where it was sent.
+        The replica that the request was sent to.
     job_id : str
-        Its name among the attempts of all nodes.
+        Id of the attempt in the announcements to other nodes.
     at_s : float
-        When something last came.
-    is_read : bool
-        Whether an event came.
-    lead : callable
-        Ends the attempts beside it.
+        Time at which data last arrived.
+    cancel_others : callable
+        Cancels the concurrent attempts.
+    has_data : bool
+        Whether the answer has started to arrive.
     """
 
     replica: str
     job_id: str
     at_s: float
-    lead: Callable[[], None]
-    is_read: bool = False
+    cancel_others: Callable[[], None]
+    has_data: bool = False
 
 
 async def serve_stream(relay, call, reply):
-    """Bring a call its stream.
+    """Forward a stream to the caller.
 
     Raises
     ------
     Refusal
-        If nothing of an answer came.
-    StreamCut
-        If it broke off after a part was written and can't go on.
+        If no part of an answer arrived.
+    StreamAborted
+        If the stream broke off after a part was sent, and can't be resumed.
     """
     progress = Progress()
     try:
-        await _keep_trying(relay, call, reply, progress)
+        await _forward_with_retries(relay, call, reply, progress)
     finally:
         reply.note(
             events=progress.events,
-            first_ms=round(progress.first_s * 1e3),
+            first_ms=round(progress.first_event_s * 1e3),
             longest_pause_ms=round(progress.longest_pause_s * 1e3),
             longest_pause_at_ms=round(progress.longest_pause_at_s * 1e3),
         )
 
 
-async def _keep_trying(relay, call, reply, progress):
+async def _forward_with_retries(relay, call, reply, progress):
     """Send a call to replicas until its stream is complete."""
 
-    async def make_attempt(race, scope):
-        await run_attempt(relay, call, reply, progress, race, scope)
+    async def make_attempt(hedged_attempts, scope):
+        await run_attempt(relay, call, reply, progress, hedged_attempts, scope)
 
     while True:
-        failure = await Race(make_attempt).run()
+        failure = await HedgedAttempts(make_attempt).run()
         if failure is None:
             return
-        if isinstance(failure, AttemptFailed) and may_try_again(
-            relay, call, needs_s=EVENT_NEEDS_S
+        if isinstance(failure, AttemptFailed) and claim_retry(
+            relay, call, min_attempt_s=MIN_STREAM_ATTEMPT_S
         ):
             relay.counters.add(f"retries.{failure.cause}")
             continue
         if reply.is_started:
-            raise StreamCut(str(failure))
+            raise StreamAborted(str(failure))
         if isinstance(failure, AttemptFailed):
             raise make_refusal(call, failure.cause, message=str(failure))
         raise failure
 
 
-async def run_attempt(relay, call, reply, progress, race, scope):
-    """Send a call to one replica and pass on what comes.
+async def run_attempt(relay, call, reply, progress, hedged_attempts, scope):
+    """Send a call to one replica and forward its answer.
 
     Raises
     ------
     AttemptFailed
-        If the answer isn't whole.
+        If the answer isn't complete.
     Refusal
-        If there is no place for it.
+        If no placement is found.
     """
-    # Beside another attempt there is no need to wait for a place: that one goes on.
-    wait_s = find_place_wait_s(call) if race.is_alone else 0.0
+    # A hedged attempt doesn't wait for a placement, since the other attempt continues.
+    wait_s = find_placement_wait_s(call) if hedged_attempts.is_single else 0.0
     try:
-        async with hold_memory(relay, call, wait_s=wait_s) as memory:
-            placement = memory.placement or await choose(relay, call, wait_s=wait_s)
+        async with reserve_memory(relay, call, wait_s=wait_s) as memory:
+            placement = memory.placement or await choose_placement(
+                relay, call, wait_s=wait_s
+            )
             call.tried.add(placement.first.id)
             try:
-                async with announced(relay, call, placement) as job_id:
-                    listener = Listener(
+                async with announced_attempt(relay, call, placement) as job_id:
+                    stream_attempt = StreamAttempt(
                         placement.first.id, job_id, read_clock(),
-                        lead=lambda: race.lead(scope),
+                        cancel_others=lambda: hedged_attempts.cancel_others(scope),
                     )  # fmt: skip
-                    more = make_stream_patience(relay, call, listener, race)
+                    more = make_stream_timeout_extension(
+                        relay, call, stream_attempt, hedged_attempts
+                    )
                     log_placement(relay, call, placement, memory)
-                    await _pass_stream(
+                    await _forward_stream(
                         relay,
                         call,
                         reply,
                         progress,
-                        listener,
+                        stream_attempt,
                         placement,
                         tickets=memory.tickets,
                         more=more,
@@ -160,34 +175,41 @@
             except AttemptFailed as failure:
                 note_failure(relay, call, placement, failure)
                 raise
-    except NoMemory as error:
+    except MemoryUnavailable as error:
         raise make_refusal(call, Cause.NO_MEMORY, message=str(error)) from None
 
 
-async def _pass_stream(
-    relay, call, reply, progress, listener, placement, *, tickets, more
+async def _forward_stream(
+    relay, call, reply, progress, stream_attempt, placement, *, tickets, more
 ):
-    """Pass one replica's events on."""
-    first_s = SILENCE_S + 2 * placement.expected_s
+    """Send the request to the chosen replica and forward its events."""
+    initial_timeout_s = SILENCE_MARGIN_S + 2 * placement.expected_s
     async with open_attempt(
-        relay, call, placement, head_s=first_s, more=more,
+        relay, call, placement, head_timeout_s=initial_timeout_s, more=more,
         tickets=tickets, resume_after=progress.last_id,
     ) as attempt:  # fmt: skip
         call.may_have_run = True
         if attempt.answer.status != 200:
-            await _pass_other(relay, call, reply, attempt, listener)
+            await _forward_unstreamed(relay, call, reply, attempt, stream_attempt)
             return
-        await _pass_head(relay, call, reply, progress, attempt)
-        await _pass_events(
-            relay, call, reply, progress, listener, attempt, first_s=first_s, more=more
+        await _forward_head(relay, call, reply, progress, attempt)
+        await _forward_events(
+            relay,
+            call,
+            reply,
+            progress,
+            stream_attempt,
+            attempt,
+            initial_timeout_s=initial_timeout_s,
+            more=more,
         )
-        listener.lead()
+        stream_attempt.cancel_others()
         await reply.end()
 
 
-async def _pass_head(relay, call, reply, progress, attempt):
-    """Pass the head of the first replica's answer on."""
-    async with progress.writing:
+async def _forward_head(relay, call, reply, progress, attempt):
+    """Forward the head of the first answer that arrives."""
+    async with progress.write_lock:
         if reply.is_started:
             return
         headers = relay.adapter.relayed_headers(attempt.answer.headers)
@@ -196,7 +218,7 @@
 
 
 def log_placement(relay, call, placement, memory):
-    """Log where a prompt goes and what decided it."""
+    """Log the placement of a prompt and the figures it was based on."""
     relay.log.info(
         "A prompt is placed.",
         extra={
@@ -216,13 +238,13 @@
 
 
 def list_readers(placement):
-    """Return the other replicas that read a part of a prompt, holders first."""
+    """Return the other replicas that read a part of a prompt, memory holders first."""
     holders = [share.replica.id for share in placement.holders]
     return holders + [helper.id for helper in placement.helpers]
 
 
-async def _pass_other(relay, call, reply, attempt, listener):
-    """Pass on a replica's answer that is no stream."""
+async def _forward_unstreamed(relay, call, reply, attempt, stream_attempt):
+    """Forward an answer that isn't a stream."""
     try:
         body = await attempt.channel.read_all(timeout_s=CALLER_WAITS_S)
     except ChannelBroken as broken:
@@ -234,51 +256,55 @@
             may_have_run=True,
         )
     headers = relay.adapter.relayed_headers(attempt.answer.headers)
-    listener.lead()
-    await reply.give(attempt.answer.status, headers, body)
+    stream_attempt.cancel_others()
+    await reply.send_whole(attempt.answer.status, headers, body)
 
 
-async def _pass_events(
-    relay, call, reply, progress, listener, attempt, *, first_s, more
+async def _forward_events(
+    relay, call, reply, progress, stream_attempt, attempt, *, initial_timeout_s, more
 ):
-    """Pass events on until the stream is complete.
+    """Forward events until the stream is complete.
 
     Raises
     ------
     AttemptFailed
-        If it breaks off or stays silent.
+        If the stream breaks off or stays silent.
     """
     splitter = EventSplitter()
     engine = call.service.engine or ANY_ENGINE
-    quiet_s = first_s
+    event_timeout_s = initial_timeout_s
     channel = attempt.channel
     while True:
         try:
-            data = await channel.wait_for(channel.next_chunk, quiet_s, more)
+            data = await channel.wait_for(channel.next_chunk, event_timeout_s, more)
         except ChannelBroken as broken:
             raise make_failure(broken, is_written=True) from broken
         if data is None:
             break
-        listener.at_s = read_clock()
-        relay.trust.hear(listener.replica, now_s=listener.at_s)
-        if not listener.is_read:
-            listener.is_read = True
-            relay.board.note_read(relay.node, listener.job_id, now_s=listener.at_s)
+        stream_attempt.at_s = read_clock()
+        relay.trust.hear(stream_attempt.replica, now_s=stream_attempt.at_s)
+        if not stream_attempt.has_data:
+            stream_attempt.has_data = True
+            relay.board.note_read(
+                relay.node, stream_attempt.job_id, now_s=stream_attempt.at_s
+            )
         for event in splitter.split(data):
-            async with progress.writing:
-                await _pass_event(relay, call, reply, progress, listener, event)
-            quiet_s = SILENCE_S + pass_s(engine, 1)
+            async with progress.write_lock:
+                await _forward_event(
+                    relay, call, reply, progress, stream_attempt, event
+                )
+            event_timeout_s = SILENCE_MARGIN_S + pass_s(engine, 1)
     if splitter.rest.strip():
         raise AttemptFailed(Cause.BROKEN, "ended within an event", may_have_run=True)
 
 
-async def _pass_event(relay, call, reply, progress, listener, event):
-    """Pass one event on unless the caller has it.
+async def _forward_event(relay, call, reply, progress, stream_attempt, event):
+    """Forward one event unless the caller has received it already.
 
     Raises
     ------
     AttemptFailed
-        If events before it are missing.
+        If earlier events are missing.
     """
     number = event.number
     if number is not None and progress.last_number is not None:
@@ -290,19 +316,19 @@
                 f"event {number} follows {progress.last_number}",
                 may_have_run=True,
             )
-    listener.lead()
+    stream_attempt.cancel_others()
     await reply.write(event.data)
     now_s = read_clock()
     if progress.events == 0:
-        progress.first_s = now_s - call.request.received_s
-        relay.exposition.observe("first_event", progress.first_s, kind="stream")
+        progress.first_event_s = now_s - call.request.received_s
+        relay.exposition.observe("first_event", progress.first_event_s, kind="stream")
     else:
-        pause_s = now_s - progress.passed_s
+        pause_s = now_s - progress.forwarded_s
         if pause_s > progress.longest_pause_s:
             progress.longest_pause_s = pause_s
             progress.longest_pause_at_s = now_s - call.request.received_s
         relay.exposition.observe("pause", pause_s, kind="stream")
-    progress.passed_s = now_s
+    progress.forwarded_s = now_s
     progress.events += 1
     if event.id:
         progress.last_id = event.id
--- a/lycheetide/relay/_tickets.py
+++ b/lycheetide/relay/_tickets.py
@@ -1,9 +1,10 @@
-"""Set memory aside at several replicas for a prompt that is too large for one.
+"""Reserve memory at several replicas for a prompt that is too large for one.
 
-All or nothing: what was got is given back at once where a part is missing, and no
-reservation waits, so two prompts can't hold half each for ever. Those that wait for
-memory try one after the other, in an order that all nodes agree on. A reservation holds
-for a few seconds and is renewed; if this node dies, the memory is free soon after.
+Either all shares are reserved or none: if one is refused, the others are released at
+once, and no reservation waits for another. So two prompts can't each hold half of the
+memory and block each other forever. Prompts that wait for memory try one after the
+other, in an order that all nodes agree on. A reservation expires after a few seconds
+unless it is renewed, so the memory becomes free soon after this node dies.
 """
 
 from contextlib import asynccontextmanager
@@ -23,33 +24,34 @@
 from lycheetide.relay._state import read_clock
 from lycheetide.routes import ANY_ENGINE
 
-HOLD_S = 3.5
-"""How long a reservation outlives its last renewal; rules ask for 4 s after the end."""
-RENEW_S = 1.0
-"""Three renewals may be lost before a reservation ends under a request."""
-ORDER_S = 0.6
-"""How long an order may take."""
-BETWEEN_TRIES_S = 0.15
-TELL_S = 0.3
-"""How often a call that waits for memory tells all nodes so."""
+RESERVATION_TTL_S = 3.5
+"""How long a reservation outlives its last renewal. Memory must be free within 4 s
+after the end of a request."""
+RENEWAL_INTERVAL_S = 1.0
+"""Interval of renewals; a reservation outlives three lost ones."""
+ORDER_TIMEOUT_S = 0.6
+"""Longest time to wait for the answer to an order."""
+RETRY_PAUSE_S = 0.15
+ANNOUNCE_INTERVAL_S = 0.3
+"""Interval at which a call that waits for memory announces that to all nodes."""
 UNREACHABLE = 0
-"""In place of the status of an order that got no answer."""
+"""Stands for the status of an order that got no answer."""
 
 
-class NoMemory(Exception):
-    """The replicas together don't have the memory for a prompt."""
+class MemoryUnavailable(Exception):
+    """The replicas together don't have enough free memory for a prompt."""
 
 
 @dataclass(frozen=True)
-class Memory:
-    """What is held for a prompt.
+class ReservedMemory:
+    """The memory reserved for a prompt.
 
     Parameters
     ----------
     tickets : tuple of (str, str)
-        Addresses, each with its ticket.
+        Addresses of the replicas that hold memory, each with its ticket.
     placement : Placement or None
-        Where the prompt goes; None where its memory needs no sharing.
+        The placement of the prompt; None if its memory needn't be shared.
     """
 
     tickets: tuple[tuple[str, str], ...] = ()
@@ -57,75 +59,78 @@
 
 
 @asynccontextmanager
-async def hold_memory(relay, call, *, wait_s):
-    """Hold the memory that a call needs beyond one replica's.
+async def reserve_memory(relay, call, *, wait_s):
+    """Reserve the memory that a call needs beyond that of one replica.
+
+    The reservations are renewed while the context is open and released on exit.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The call.
     wait_s : float
-        How long it may be tried.
+        Longest time to try.
 
     Yields
     ------
-    Memory
+    ReservedMemory
 
     Raises
     ------
-    NoMemory
-        If it can't be had.
+    MemoryUnavailable
+        If the memory can't be reserved.
     """
     engine = call.service.engine or ANY_ENGINE
     if not needs_sharing(engine, call.size.tokens):
-        yield Memory()
+        yield ReservedMemory()
         return
-    memory, held = await _reserve_all(relay, call, wait_s)
+    memory, reservations = await _reserve_all(relay, call, wait_s)
     renewal = anyio.CancelScope()
-    relay.tasks.start_soon(_renew, relay, held, renewal)
+    relay.tasks.start_soon(_renew, relay, reservations, renewal)
     try:
         yield memory
     finally:
         renewal.cancel()
-        for address, ticket, _ in held:
+        for address, ticket, _ in reservations:
             relay.tasks.start_soon(_release, relay, address, ticket)
 
 
 async def _reserve_all(relay, call, wait_s):
-    """Reserve all shares, or none and raise ``NoMemory``.
+    """Reserve all shares, or none and raise ``MemoryUnavailable``.
 
-    Memory that others hold becomes free within seconds, so a few more tries are worth
-    it while the first event may still come in time. Those that wait come one after the
-    other: did all try at once, each would deny the others a share, and none got all.
+    Memory that other requests hold becomes free within seconds, so a few more tries are
+    worthwhile while the first event may still arrive in time. Waiting calls try one
+    after the other: if all tried at once, each would take shares that the others need,
+    and none would get all of its own.
     """
     begun_s = read_clock()
-    queue = _Queue(relay, call)
-    without: set[str] = set()
+    queue_entry = _QueueEntry(relay, call)
+    refused_ids: set[str] = set()
     try:
         while True:
-            open_now, _ = list_candidates(relay, call)
-            if queue.is_turn(open_now, now_s=read_clock()):
-                found = await _try_once(relay, call, open_now, without)
+            admissible, _ = list_candidates(relay, call)
+            if queue_entry.has_turn(admissible, now_s=read_clock()):
+                found = await _try_reserve_all(relay, call, admissible, refused_ids)
                 if found is not None:
                     return found
             if read_clock() - begun_s > wait_s:
                 break
-            queue.wait_in(now_s=read_clock())
-            await anyio.sleep(BETWEEN_TRIES_S * (0.5 + relay.random.random() / 2))
+            queue_entry.enqueue(now_s=read_clock())
+            await anyio.sleep(RETRY_PAUSE_S * (0.5 + relay.random.random() / 2))
     finally:
-        queue.leave()
-    raise NoMemory(f"{call.size.tokens} tokens were not to be had")
+        queue_entry.leave()
+    raise MemoryUnavailable(f"{call.size.tokens} tokens were not to be had")
 
 
-class _Queue:
-    """One call's place among those that wait for memory.
+class _QueueEntry:
+    """The position of one call among those that wait for memory.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The call.
     """
@@ -134,90 +139,92 @@
         self.relay = relay
         self.call = call
         self.waiting = None
-        self.told_s = float("-inf")
+        self.announced_s = float("-inf")
 
-    def is_turn(self, candidates, *, now_s):
-        """Tell whether there is memory for all that come first, and for this call."""
+    def has_turn(self, candidates, *, now_s):
+        """Tell whether memory suffices for this call and all those ahead of it."""
         ahead = self.relay.memory_queue.list_ahead(self.waiting, now_s=now_s)
         if not ahead:
             return True
         engine = self.call.service.engine or ANY_ENGINE
-        wanted = self.call.size.tokens + sum(one.tokens for one in ahead)
-        return wanted <= count_room(engine, candidates)
+        wanted_tokens = self.call.size.tokens + sum(one.tokens for one in ahead)
+        return wanted_tokens <= count_room(engine, candidates)
 
-    def wait_in(self, *, now_s):
-        """Take a place, or tell all nodes again that this call keeps it."""
+    def enqueue(self, *, now_s):
+        """Join the queue, or announce to all nodes that this call still waits."""
         if self.waiting is None:
             number = self.relay.memory_queue.take_number()
             self.waiting = Waiting(
                 number, self.relay.node, self.relay.next_job(), self.call.size.tokens
             )
-        if now_s - self.told_s < TELL_S:
+        if now_s - self.announced_s < ANNOUNCE_INTERVAL_S:
             return
-        self.told_s = now_s
+        self.announced_s = now_s
         one = self.waiting
         self.relay.memory_queue.note(one, now_s=now_s)
         self.relay.tell_work(Wants(one.node, one.job, one.number, one.tokens))
 
     def leave(self):
-        """Give the place up."""
+        """Leave the queue."""
         if self.waiting is not None:
             self.relay.memory_queue.drop(self.waiting.node, self.waiting.job)
             self.relay.tell_work(Ended(self.waiting.node, self.waiting.job))
 
 
-async def _try_once(relay, call, open_now, without):
-    """Return memory and what is held for it, or None where a share was refused.
+async def _try_reserve_all(relay, call, admissible, refused_ids):
+    """Return the memory and its reservations, or None if a share was refused.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        The state of this node.
     call : Call
         The call.
-    open_now : list of Candidate
+    admissible : list of Candidate
         Replicas that may take part.
-    without : set of str
-        Those that refused a share in the last try; changed by this one.
+    refused_ids : set of str
+        Replicas that refused a share in the last try; replaced by those of this try.
     """
-    candidates = [one for one in open_now if one.id not in without]
+    candidates = [one for one in admissible if one.id not in refused_ids]
     placement = find_place(relay, call, candidates, now_s=read_clock())
-    without.clear()
+    refused_ids.clear()
     if not is_worthwhile(call, placement):
         return None
     job = relay.next_job()
-    wanted = [
+    wanted_shares = [
         (share.replica, f"{relay.node}/{job}/{place}", share.tokens)
         for place, share in enumerate(placement.holders)
     ]
     results: dict[str, bool] = {}
     async with anyio.create_task_group() as group:
-        for replica, ticket, tokens in wanted:
+        for replica, ticket, tokens in wanted_shares:
             group.start_soon(_reserve, relay, replica, ticket, tokens, results)
-    held = [(one.address, ticket, tokens) for one, ticket, tokens in wanted]
+    reservations = [
+        (one.address, ticket, tokens) for one, ticket, tokens in wanted_shares
+    ]
     if all(results.values()):
-        tickets = tuple((address, ticket) for address, ticket, _ in held)
-        return Memory(tickets, placement), held
-    for replica, ticket, _ in wanted:
+        tickets = tuple((address, ticket) for address, ticket, _ in reservations)
+        return ReservedMemory(tickets, placement), reservations
+    for replica, ticket, _ in wanted_shares:
         if not results[ticket]:
-            without.add(replica.id)
+            refused_ids.add(replica.id)
         relay.tasks.start_soon(_release, relay, replica.address, ticket)
     relay.counters.add("tickets.refused")
     relay.log.info(
         "Memory was refused.",
         extra={"request": call.request.attempt_id, "tokens": call.size.tokens,
-               "replicas": [one.id for one, ticket, _ in wanted
+               "replicas": [one.id for one, ticket, _ in wanted_shares
                             if not results[ticket]]},
     )  # fmt: skip
     return None
 
 
 async def _order(relay, outgoing, address):
-    """Send an order; return its status, or ``UNREACHABLE``."""
+    """Send an order; return the status of the answer, or ``UNREACHABLE``."""
     try:
-        with anyio.fail_after(ORDER_S):
+        with anyio.fail_after(ORDER_TIMEOUT_S):
             head, _ = await relay.pool.call(
-                address, outgoing, timeout_s=ORDER_S, read_clock=read_clock
+                address, outgoing, timeout_s=ORDER_TIMEOUT_S, read_clock=read_clock
             )
             return head.status
     except (ConnectFailed, ChannelBroken, TimeoutError) as error:
@@ -229,24 +236,28 @@
 
 
 async def _reserve(relay, replica, ticket, tokens, results):
-    """Reserve at one replica."""
-    order = relay.adapter.encode_reserve(replica.address, ticket, tokens, HOLD_S)
+    """Reserve memory at one replica, and store the outcome by ticket."""
+    order = relay.adapter.encode_reserve(
+        replica.address, ticket, tokens, RESERVATION_TTL_S
+    )
     status = await _order(relay, order, replica.address)
     if status == UNREACHABLE:
         suspect(relay, replica.id, "no answer to an order")
     results[ticket] = status == 200
 
 
-async def _renew(relay, held, scope):
+async def _renew(relay, reservations, scope):
     """Renew reservations until the scope is cancelled."""
     with scope:
         while True:
-            await anyio.sleep(RENEW_S)
-            for address, ticket, tokens in held:
-                order = relay.adapter.encode_reserve(address, ticket, tokens, HOLD_S)
+            await anyio.sleep(RENEWAL_INTERVAL_S)
+            for address, ticket, tokens in reservations:
+                order = relay.adapter.encode_reserve(
+                    address, ticket, tokens, RESERVATION_TTL_S
+                )
                 relay.tasks.start_soon(_order, relay, order, address)
 
 
 async def _release(relay, address, ticket):
-    """Give a reservation back; one that isn't reached ends by itself."""
+    """Release one reservation; if the replica isn't reached, it expires by itself."""
     await _order(relay, relay.adapter.encode_release(address, ticket), address)
