--- a/lycheetide/relay/tests/test_answers.py
+++ b/lycheetide/relay/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, and "not run" is true."""
+"""Callers get whole answers to their own requests, and "not run" is reported truly."""
 
 import time
 
@@ -14,7 +14,7 @@
 
 pytestmark = pytest.mark.anyio
 
-WHOLE = b"".join(make_event(number) for number in range(1, 5))
+WHOLE_STREAM = b"".join(make_event(number) for number in range(1, 5))
 
 
 @pytest.fixture
@@ -50,14 +50,15 @@
 async def test_a_stream_passes_whole():
     async with Relayed() as fleet:
         answer = await fleet.stream()
-    assert answer.content == WHOLE
+    assert answer.content == WHOLE_STREAM
 
 
 @pytest.mark.parametrize("path", ["/stream/s", "/look/a"])
 async def test_a_caller_that_has_its_whole_answer_is_not_logged_as_gone(path):
-    """The server tells of a disconnect once an answer is complete.
+    """The server reports a disconnect after each complete answer.
 
-    Streams with whole answers were counted and logged as left by their callers.
+    Guards against counting and logging streams with whole answers as left by their
+    callers.
     """
     async with Relayed() as fleet:
         (relay,) = fleet.relays
@@ -72,9 +73,9 @@
 
 @pytest.mark.parametrize("step", ["break", "stall"])
 async def test_a_stream_that_breaks_off_goes_on_elsewhere(step):
-    """A replica dies, or goes silent, in the middle of an event.
+    """A replica dies, or falls silent, in the middle of an event.
 
-    The caller must see each event once and in order, and no half of one.
+    The caller must get each event once and in order, and no partial one.
     """
     async with Relayed() as fleet:
         for replica in fleet.replicas:
@@ -82,21 +83,21 @@
         fleet.replicas[0].script = [step]
         fleet.replicas[1].script = [step]
         answer = await fleet.stream()
-        resumed = [
+        resume_ids = [
             request.headers["last-event-id"]
             for request in fleet.seen()
             if "last-event-id" in request.headers
         ]
-    assert answer.content == WHOLE
-    assert resumed == ["2"]
+    assert answer.content == WHOLE_STREAM
+    assert resume_ids == ["2"]
     assert len(fleet.runs()) == 2
 
 
 async def test_a_stream_that_has_begun_is_not_cut_for_want_of_room():
-    """A huge prompt is read everywhere, and a stream's replica falls silent behind it.
+    """A stream's replica falls silent while all replicas read a huge prompt.
 
-    The stream was tried elsewhere, stood behind seconds of reading there too, and was
-    broken off after three seconds of good service.
+    Guards against aborting a stream after three seconds of good service because a
+    second replica, which had seconds of reading queued as well, was tried and refused.
     """
     async with Relayed() as fleet:
         (relay,) = fleet.relays
@@ -105,7 +106,7 @@
         fleet.replicas[0].script = ["stall"]
         fleet.replicas[1].script = ["stall"]
 
-        async def fill_when_begun():
+        async def add_backlog_when_started():
             while not fleet.seen():
                 await anyio.sleep(0.002)
             now_s = time.monotonic()
@@ -118,17 +119,18 @@
             relay.node, *(f"other-{replica.name}" for replica in fleet.replicas)
         }  # fmt: skip
         async with anyio.create_task_group() as group:
-            group.start_soon(fill_when_begun)
+            group.start_soon(add_backlog_when_started)
             answer = await fleet.stream()
     assert answer.status_code == 200
-    assert answer.content == WHOLE
+    assert answer.content == WHOLE_STREAM
 
 
 async def test_kept_connections_that_were_dropped_use_up_no_attempts():
-    """Both replicas have dropped their kept connections without a word.
+    """Both replicas have dropped their kept connections without closing them.
 
-    What crosses that is reset. The first two resets used up the two replicas that a
-    request may be sent to, and its caller got a failure though both were sound.
+    Requests sent on them are reset. Guards against counting these resets as attempts:
+    two of them used up the two attempts of a request, and its caller got a failure
+    although both replicas were healthy.
     """
     async with Relayed() as fleet:
         for _ in range(4):
@@ -138,17 +140,17 @@
             replica.drops_kept = True
         answers = [await fleet.stream() for _ in range(4)]
         counts = relay.counters.counts
-    assert [answer.content for answer in answers] == [WHOLE] * 4
+    assert [answer.content for answer in answers] == [WHOLE_STREAM] * 4
     assert counts["retries.kept_connection"] >= 1
     assert counts["retries.broken"] == 0
 
 
 @pytest.mark.parametrize("path", ["/stream/s", "/look/a"])
 async def test_replicas_that_are_gone_use_up_no_attempts(path):
-    """Three replicas have just ended, and the registry lists them for seconds more.
+    """Three replicas have ended, and the registry still lists them for seconds.
 
-    The first two that couldn't be reached used up a request's attempts, and it was
-    refused 6 ms after it came.
+    Guards against counting unreachable replicas as attempts: two of them used up all
+    attempts of a request, which was refused 6 ms after it arrived.
     """
     async with Relayed(replicas=4) as fleet:
         (relay,) = fleet.relays
@@ -171,8 +173,8 @@
 async def test_replicas_that_are_gone_use_up_no_retries():
     """A replica fails a lookup, and the next one has just ended.
 
-    The only retry in the budget was spent on the one that couldn't be reached, and the
-    caller got a failure though a third replica had room.
+    Guards against spending the only retry of the budget on the unreachable replica:
+    the caller got a failure although a third replica had room.
     """
     async with Relayed(replicas=3) as fleet:
         (relay,) = fleet.relays
@@ -195,17 +197,18 @@
 
 
 async def test_addresses_that_are_used_again_use_up_no_attempts():
-    """Three replicas have started anew under other names at the same addresses.
+    """Three replicas have restarted under other names at the same addresses.
 
-    They refuse what was meant for those before; two such refusals left a request
-    without an attempt, though a fourth replica had room.
+    They refuse requests that were meant for their predecessors. Guards against counting
+    these refusals as attempts: two of them left a request without an attempt although a
+    fourth replica had room.
     """
     async with Relayed(replicas=4) as fleet:
         for replica in fleet.replicas[:3]:
             replica.always = "other"
         answers = [await fleet.stream() for _ in range(3)]
         suspected = fleet.relays[0].counters.counts["replicas.suspected"]
-    assert [answer.content for answer in answers] == [WHOLE] * 3
+    assert [answer.content for answer in answers] == [WHOLE_STREAM] * 3
     assert len(fleet.runs()) == 3
     assert suspected <= 3
 
@@ -221,9 +224,10 @@
 
 
 async def test_a_stream_that_may_not_be_resumed_never_looks_whole():
-    """A stream that may run once only breaks off in the middle.
+    """A stream that may run only once breaks off in the middle.
 
-    An orderly end of the connection would pass a half for the whole.
+    Guards against closing the connection in an orderly way, by which the caller would
+    take the part for the whole.
     """
     async with Relayed() as fleet:
         for replica in fleet.replicas:
@@ -242,7 +246,10 @@
     ],
 )
 async def test_a_stream_that_breaks_off_for_good_leaves_the_reason(path, ratio, why):
-    """The log of a broken stream didn't tell which limit kept it from a replica."""
+    """Guards against a broken stream whose cause isn't logged.
+
+    The log didn't tell which limit kept the stream from another replica.
+    """
     async with Relayed() as fleet:
         (relay,) = fleet.relays
         window = relay.retries("models")
@@ -256,9 +263,10 @@
 
 @pytest.mark.parametrize("step", ["reset", "garbled", "crossed", "break"])
 async def test_a_booking_whose_answer_is_lost_is_never_called_not_run(step):
-    """The replica has run the booking, and its answer is lost or spoilt.
+    """The replica has run the booking, and its answer is lost or corrupted.
 
-    Told that it has not run, the caller would book again.
+    Guards against reporting the booking as not run, after which the caller would book
+    again.
     """
     async with Relayed() as fleet:
         for replica in fleet.replicas:
@@ -269,7 +277,7 @@
 
 
 async def test_a_booking_that_stays_unanswered_ends_in_time():
-    """The replica takes the booking and says nothing."""
+    """The replica accepts the booking and never answers."""
     async with Relayed() as fleet:
         for replica in fleet.replicas:
             replica.always = "silent"
@@ -280,10 +288,10 @@
 
 
 async def test_a_prompt_that_would_wait_in_vain_is_refused_at_once():
-    """All replicas have work for many seconds, by what other nodes tell.
+    """All replicas have work for many seconds, as other nodes announced.
 
-    Its caller would leave after 2 s without an event; it is told at once, truly that
-    nothing has run, and when a place will be free.
+    The caller would leave after 2 s without an event. Instead it is told at once that
+    the prompt hasn't run, which is true, and when a replica will be free.
     """
     async with Relayed() as fleet:
         (relay,) = fleet.relays
@@ -306,7 +314,7 @@
 
 @pytest.mark.parametrize("step", ["refuse", "other"])
 async def test_a_refused_booking_may_come_back(step):
-    """The only replica that it may be sent to refuses it before starting."""
+    """The only replica that may get the booking refuses it before running it."""
     async with Relayed() as fleet:
         for replica in fleet.replicas:
             replica.always = step
@@ -330,39 +338,39 @@
 
 
 async def test_a_prompt_refused_for_a_leaving_helper_is_read_by_one_replica():
-    """Some replicas are leaving, and the store that would tell so is out.
+    """Some replicas are leaving, and the store is unavailable, so nodes don't know it.
 
-    Every long prompt that counts on one of them as a helper is refused; helped again,
-    it would be refused until its caller gives up.
+    Each long prompt that has one of them as a helper is refused. Guards against
+    retrying with helpers, where it would be refused until its caller gives up.
     """
     async with Relayed(replicas=6) as fleet:
         for replica in fleet.replicas:
             replica.always = "refuse-helped"
         answer = await fleet.stream(tokens="50000,300")
-        helped = ["lycheetide-helpers" in one.headers for one in fleet.seen()]
-    assert answer.content == WHOLE
-    assert sorted(helped) == [False, True]
+        has_helpers = ["lycheetide-helpers" in one.headers for one in fleet.seen()]
+    assert answer.content == WHOLE_STREAM
+    assert sorted(has_helpers) == [False, True]
 
 
-async def test_a_prompt_refused_for_a_named_helper_is_read_with_the_others():
-    """One replica is leaving, and a prompt that counted on it is refused.
+async def test_a_prompt_refused_for_a_named_helper_keeps_the_other_helpers():
+    """One replica is leaving, and a prompt with it as a helper is refused.
 
-    Read by one replica alone then, an archive search of 425,000 tokens took 3.6 s
-    longer; the refusal names the one that left.
+    The refusal names the leaving replica. Guards against retrying the prompt at one
+    replica alone, which took 3.6 s longer for an archive search of 425,000 tokens.
     """
     async with Relayed(replicas=6) as fleet:
         leaving = fleet.replicas[-1]
         for replica in fleet.replicas[:-1]:
             replica.leaving_helper = leaving.address
         answers = [await fleet.stream(tokens="50000,300") for _ in range(4)]
-        refused = [one for one in fleet.seen() if names(one, leaving)]
-        helped = ["lycheetide-helpers" in one.headers for one in fleet.seen()]
-    assert [answer.content for answer in answers] == [WHOLE] * 4
+        refused = [one for one in fleet.seen() if names_helper(one, leaving)]
+        has_helpers = ["lycheetide-helpers" in one.headers for one in fleet.seen()]
+    assert [answer.content for answer in answers] == [WHOLE_STREAM] * 4
     assert len(refused) == 1
-    assert all(helped)
+    assert all(has_helpers)
 
 
-def names(request, replica):
+def names_helper(request, replica):
     """Tell whether a request names a replica as a helper."""
     return replica.address in request.headers.get("lycheetide-helpers", "")
 
@@ -375,9 +383,9 @@
 
 
 async def test_bytes_behind_an_answer_go_to_nobody():
-    """A replica sends a second answer behind the first one.
+    """A replica sends a second answer after the first one.
 
-    On a kept connection the next caller would get it.
+    Guards against giving it to the next caller on the same kept connection.
     """
     async with Relayed(replicas=1) as fleet:
         fleet.replicas[0].script = ["extra"]
@@ -392,7 +400,7 @@
 
 @pytest.mark.parametrize("path", ["/stream/s", "/look/a"])
 async def test_a_replica_stops_when_its_caller_leaves(path):
-    """A caller closes its connection while a replica works for it."""
+    """A caller closes its connection while a replica works on its request."""
     async with Relayed(replicas=1) as fleet:
         fleet.replicas[0].always = "silent" if path == "/look/a" else "stall"
         with anyio.move_on_after(0.3):
@@ -404,7 +412,7 @@
 
 
 async def test_a_replica_that_is_not_there_costs_little():
-    """A replica has died; its address refuses connections."""
+    """A replica has died, and its address refuses connections."""
     async with Relayed(replicas=2) as fleet:
         fleet.store.put(
             "keyed.servers", "dead", fleet.replicas[0].entry(address="127.0.0.1:9")
@@ -431,7 +439,7 @@
 
 
 async def test_without_replicas_a_request_is_refused_at_once():
-    """All replicas have left; waiting for the deadline would help nobody."""
+    """All replicas have left, so waiting for the deadline wouldn't help."""
     async with Relayed(replicas=1) as fleet:
         fleet.store.remove("keyed.servers", "r-0")
         await fleet.wait_for(
@@ -456,7 +464,7 @@
 
 
 async def test_a_route_without_kinds_of_prompt_keeps_its_own_timeout():
-    """The operator's timeout is shorter than the caller's patience."""
+    """The operator's timeout is shorter than the time that the caller waits."""
     config = make_config()
     config["routes"][2]["timeoutMs"] = 400
     config["routes"][2]["attempts"] = 1
@@ -468,8 +476,8 @@
     assert answer.status_code == 504
 
 
-class Failing(Replica):
-    """A replica whose errors break off, by a script that it shares with others."""
+class BreakingReplica(Replica):
+    """A replica that breaks off its errors, with a script shared among replicas."""
 
     def __init__(self, name, *, script):
         super().__init__(name)
@@ -485,17 +493,20 @@
 
 @pytest.mark.parametrize("first_step", ["break", "refuse"])
 async def test_an_error_that_breaks_off_is_a_failed_attempt(first_step):
-    """A replica's error that breaks off ends the request as the node's own fault.
+    """A replica breaks off while it sends an error.
 
-    A third replica could serve it.
+    Guards against ending the request as an internal error of the node, although a third
+    replica could serve it.
     """
     config = make_config()
     config["routes"][0]["attempts"] = 3
     fleet = Relayed(replicas=0, config=config)
     steps = [first_step, "fail-short"]
-    fleet.replicas += [Failing(f"r-{index}", script=steps) for index in range(3)]
+    fleet.replicas += [
+        BreakingReplica(f"r-{index}", script=steps) for index in range(3)
+    ]
     async with fleet:
         answer = await fleet.stream()
         faults = fleet.relays[0].counters.counts["requests.fault"]
-    assert answer.content == WHOLE
+    assert answer.content == WHOLE_STREAM
     assert faults == 0
--- a/lycheetide/relay/tests/test_leaving.py
+++ b/lycheetide/relay/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A replica's work ends soon after its caller has left, wherever the node waits."""
+"""A replica's work ends soon after its caller has left, whatever the node waits for."""
 
 import pytest
 from anyio import connect_tcp, sleep
@@ -7,8 +7,8 @@
 
 pytestmark = pytest.mark.anyio
 
-GONE_S = 0.5
-"""Work ends within this time."""
+MAX_END_S = 0.5
+"""Longest time until the work ends."""
 
 
 @pytest.fixture
@@ -37,43 +37,43 @@
 
 
 async def wait_for_work(fleet, count=1):
-    """Wait until a replica works on so many requests."""
+    """Wait until the replicas have started to work on a number of requests."""
     await fleet.wait_for(lambda: len(fleet.runs()) >= count)
 
 
 async def wait_for_end(fleet, count=1):
-    """Wait until the connections of so many requests have ended at the replica."""
+    """Wait until the connections of a number of requests have ended at the replica."""
     (replica,) = fleet.replicas
     return await fleet.wait_for(
-        lambda: len(replica.cancelled_s) >= count, timeout_s=GONE_S
+        lambda: len(replica.cancelled_s) >= count, timeout_s=MAX_END_S
     )
 
 
 async def test_a_caller_that_sent_its_next_request_already():
-    """A caller sends two requests at once and leaves before the first is answered."""
+    """A caller pipelines two requests and leaves before the first is answered."""
     async with Relayed(replicas=1) as fleet:
         fleet.replicas[0].always = "silent"
         async with await connect(fleet) as caller:
             await caller.send(make_request(1) + make_request(2))
             await wait_for_work(fleet)
             await sleep(0.1)
-        assert await wait_for_end(fleet) < GONE_S
+        assert await wait_for_end(fleet) < MAX_END_S
         assert len(fleet.runs()) == 1
 
 
 async def test_a_caller_that_leaves_with_its_request():
-    """A caller sends a request and closes the connection in the same moment."""
+    """A caller sends a request and closes the connection at once."""
     async with Relayed(replicas=1) as fleet:
         fleet.replicas[0].always = "silent"
         async with await connect(fleet) as caller:
             await caller.send(make_request(1))
-        await sleep(GONE_S)
+        await sleep(MAX_END_S)
         (replica,) = fleet.replicas
         assert len(replica.cancelled_s) == len(replica.runs)
 
 
 async def test_a_caller_that_leaves_without_reading():
-    """A caller reads nothing, so the node waits to write, and then it leaves."""
+    """A caller that reads nothing leaves while the node waits to write to it."""
     async with Relayed(replicas=1) as fleet:
         (replica,) = fleet.replicas
         replica.events = 1 << 20
@@ -82,11 +82,11 @@
             await caller.send(make_request(1))
             await wait_for_work(fleet)
             await sleep(0.7)
-        assert await wait_for_end(fleet) < GONE_S
+        assert await wait_for_end(fleet) < MAX_END_S
 
 
 async def test_a_caller_that_leaves_while_its_prompt_waits_for_memory():
-    """A prompt of several replicas waits for their memory when its caller leaves."""
+    """A prompt waits for memory of several replicas when its caller leaves."""
     async with Relayed(replicas=3) as fleet:
         for replica in fleet.replicas:
             replica.kv_tokens = 10
@@ -94,8 +94,8 @@
             huge = make_request(1).replace(b"1000,200", b"150000,300")
             await caller.send(huge)
             await fleet.wait_for(lambda: any(one.orders for one in fleet.replicas))
-        await sleep(GONE_S)
-        told = [len(replica.orders) for replica in fleet.replicas]
-        await sleep(GONE_S)
-        assert [len(replica.orders) for replica in fleet.replicas] == told
+        await sleep(MAX_END_S)
+        order_counts = [len(replica.orders) for replica in fleet.replicas]
+        await sleep(MAX_END_S)
+        assert [len(replica.orders) for replica in fleet.replicas] == order_counts
         assert not any(replica.tickets for replica in fleet.replicas)
--- a/lycheetide/relay/tests/test_readers.py
+++ b/lycheetide/relay/tests/test_readers.py
@@ -1,6 +1,7 @@
-"""One node reads the registry for the fleet; frozen, cut off or gone it is replaced.
+"""One node reads the registry for the fleet, and is replaced when it fails.
 
-The fleets here have no network: nodes hear one another's greetings, or don't.
+It fails by freezing, by being cut off or by ending. The fleets here have no network:
+tests deliver the hello messages between nodes.
 """
 
 import time
@@ -19,35 +20,38 @@
 )
 from lycheetide.relay.tests.test_spreading import DOMAINS, make_fleet, make_hello
 
-LEFT_S = 2.0
-"""How long after it said so a leaving replica may still get work."""
-LOOK_S = 0.25
-"""Pause between two looks whether a node has to read."""
+DRAIN_S = 2.0
+"""How long a leaving replica may still get work after it announced that it leaves."""
+POLL_S = 0.25
+"""Interval at which a node checks whether it has to read the registry."""
 
 
 def find_readers(nodes, *, now_s):
-    """Return the nodes that read for all."""
+    """Return the nodes that read the registry for the fleet."""
     return [node for node in nodes if is_reader(node, now_s=now_s)]
 
 
-def let_hear(listeners, tellers, *, now_s):
-    """Let nodes hear others' greetings."""
-    for node in listeners:
-        for other in tellers:
+def deliver_hellos(receivers, senders, *, now_s):
+    """Deliver the hello messages of the senders to the receivers."""
+    for node in receivers:
+        for other in senders:
             if other is not node:
                 node.peers.hear(make_hello(other), now_s=now_s)
 
 
 @pytest.mark.parametrize("size", [2, 9, 22, 60])
-def test_one_node_of_the_fleet_reads(size):
-    """One node of each of five failure domains read, and each call is paid for."""
+def test_one_node_of_the_fleet_reads_the_registry(size):
+    """Guards against one reader in each of five failure domains.
+
+    Each read of the registry is paid for.
+    """
     now_s = time.monotonic()
     nodes = list(make_fleet(size, now_s=now_s).values())
     assert len(find_readers(nodes, now_s=now_s)) == 1
 
 
 def test_a_frozen_reader_is_replaced_in_time():
-    """The reader is frozen, and nobody knows of a replica that leaves meanwhile."""
+    """The reader freezes, and a replica that leaves meanwhile isn't noticed."""
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
     (reader,) = find_readers(nodes, now_s=now_s)
@@ -55,82 +59,91 @@
     for node in others:
         node.registry.read_s = now_s
     later_s = now_s + FRESH_S + 0.01
-    let_hear(others, others, now_s=later_s - 0.1)
+    deliver_hellos(others, others, now_s=later_s - 0.1)
     reading = [node for node in others if must_read(node, now_s=later_s)]
     assert 0 < len(reading) < len(DOMAINS)
     assert all(is_hub(node, now_s=later_s) for node in reading)
-    assert FRESH_S + LOOK_S < FRESH_ALONE_S + LOOK_S < LEFT_S
+    assert FRESH_S + POLL_S < FRESH_ALONE_S + POLL_S < DRAIN_S
 
 
-def test_a_reader_that_the_store_turns_away_is_replaced():
-    """The store serves some nodes only, and the reader isn't one of them.
+def test_a_reader_whose_reads_fail_is_replaced():
+    """The store serves only some nodes, and not the reader.
 
-    It goes on greeting; knowledge of the others would be a second old all the time.
+    The reader continues to send hellos. Guards against keeping it as the reader, by
+    which the other nodes' knowledge would always be a second old.
     """
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
     (reader,) = find_readers(nodes, now_s=now_s)
     reader.reads_store, reader.registry.failures = False, 1
-    let_hear(nodes, [reader], now_s=now_s)
-    (following,) = find_readers(nodes, now_s=now_s)
-    assert following is not reader
+    deliver_hellos(nodes, [reader], now_s=now_s)
+    (successor,) = find_readers(nodes, now_s=now_s)
+    assert successor is not reader
 
 
-def test_both_sides_of_a_cut_have_a_reader():
-    """Two failure domains hear nothing of the other two."""
+def test_both_sides_of_a_network_partition_have_a_reader():
+    """Two failure domains receive nothing from the other two."""
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
     now_s = now_s + HUB_SILENT_S + 0.1
     for side in (DOMAINS[:2], DOMAINS[2:]):
-        inside = [node for node in nodes if node.settings.failure_domain in side]
-        let_hear(inside, inside, now_s=now_s)
-        assert len(find_readers(inside, now_s=now_s)) == 1
+        connected = [node for node in nodes if node.settings.failure_domain in side]
+        deliver_hellos(connected, connected, now_s=now_s)
+        assert len(find_readers(connected, now_s=now_s)) == 1
 
 
-def test_a_node_that_hears_the_reader_but_is_not_heard_relies_on_it():
-    """Packets pass one way only, to a failure domain whose own go nowhere.
+def test_nodes_that_hear_the_reader_one_way_rely_on_it():
+    """One failure domain receives packets from the others but can't send to them.
 
-    What it hears is as fresh as for all others, so its reads would bring nothing.
+    Its knowledge is as fresh as everyone's, so reads of its own would bring nothing.
     """
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
     now_s = now_s + HUB_SILENT_S + 0.1
-    deaf = [node for node in nodes if node.settings.failure_domain != "d"]
-    let_hear(deaf, deaf, now_s=now_s)
-    let_hear([node for node in nodes if node not in deaf], nodes, now_s=now_s)
+    not_hearing_d = [node for node in nodes if node.settings.failure_domain != "d"]
+    deliver_hellos(not_hearing_d, not_hearing_d, now_s=now_s)
+    deliver_hellos(
+        [node for node in nodes if node not in not_hearing_d], nodes, now_s=now_s
+    )
     for node in nodes:
         node.registry.read_s = now_s - 0.6
-    (reader,) = find_readers(deaf, now_s=now_s)
+    (reader,) = find_readers(not_hearing_d, now_s=now_s)
     reading = [node for node in nodes if must_read(node, now_s=now_s)]
     assert reader in reading
     assert len(reading) <= 2
 
 
-def test_one_that_hears_nobody_reads_for_itself():
-    """A node is cut off from all others, and would send work to replicas that left."""
+def test_an_isolated_node_reads_the_registry_itself():
+    """Guards against an isolated node sending work to replicas that have left."""
     (node, *_) = make_fleet(22).values()
     later_s = time.monotonic() + HUB_SILENT_S + 0.1
     assert must_read(node, now_s=later_s)
 
 
 @pytest.mark.parametrize("size", [2, 9, 22, 195])
-def test_few_nodes_wait_for_operators_records(size):
-    """Each of 195 nodes waited at the store, and read each configuration there."""
+def test_few_nodes_wait_for_operator_records(size):
+    """Guards against all 195 nodes waiting at the store.
+
+    Each of them read each configuration there.
+    """
     now_s = time.monotonic()
     nodes = list(make_fleet(size, now_s=now_s).values())
     waiting = [node for node in nodes if waits_for_operators(node, now_s=now_s)]
     assert min(size, 3) <= len(waiting) <= len(DOMAINS) + OPERATOR_READERS - 1
 
 
-def test_several_wait_in_a_fleet_of_one_failure_domain():
-    """The only one that waits is frozen, and a key that was taken away stays valid."""
+def test_several_nodes_wait_in_a_fleet_of_one_failure_domain():
+    """Guards against a key staying valid after it was revoked.
+
+    That happened if only one node waited for operator records, and it froze.
+    """
     now_s = time.monotonic()
     nodes = list(make_fleet(9, domains=("a",), now_s=now_s).values())
     waiting = [node for node in nodes if waits_for_operators(node, now_s=now_s)]
     assert len(waiting) == 3
 
 
-def test_a_node_that_hears_nobody_waits_for_itself():
-    """A node is cut off from its peers, and would never hear of a configuration."""
+def test_an_isolated_node_waits_for_operator_records():
+    """Guards against an isolated node never receiving a new configuration."""
     (node, *_) = make_fleet(60).values()
     assert waits_for_operators(node, now_s=time.monotonic() + HUB_SILENT_S + 0.1)
--- a/lycheetide/relay/tests/test_silence.py
+++ b/lycheetide/relay/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""A silent replica is given up only where another one may take the request."""
+"""A silent replica is given up only if another one may take the request."""
 
 import time
 
@@ -11,10 +11,10 @@
 pytestmark = pytest.mark.anyio
 
 EVENTS = 8
-WHOLE = b"".join(make_event(number) for number in range(1, EVENTS + 1))
+WHOLE_STREAM = b"".join(make_event(number) for number in range(1, EVENTS + 1))
 PAUSE_S = 1.6
 """Longer than a node waits for an event before it tries another replica, and shorter
-than the 2 s after which callers give a stream up."""
+than the 2 s after which callers give up a stream."""
 
 
 @pytest.fixture
@@ -22,22 +22,22 @@
     return "asyncio"
 
 
-def let_pause(fleet, step):
-    """Let each replica's first answer pause."""
+def script_pauses(fleet, step):
+    """Make the first answer of each replica pause by the given step."""
     for replica in fleet.replicas:
         replica.events, replica.script = EVENTS, [step]
         replica.long_pause_s = PAUSE_S
 
 
-async def hear_of_all(fleet):
-    """Let peers tell the first relay that all replicas live."""
+async def report_replicas_alive(fleet):
+    """Report to the first relay, as peers do, that all replicas are alive."""
     while True:
         for replica in fleet.replicas:
             fleet.relays[0].trust.hear_of(replica.name, now_s=time.monotonic())
         await anyio.sleep(0.1)
 
 
-def forbid_retries(relay):
+def exhaust_retry_budget(relay):
     """Leave a node no retry in its budget."""
     window = relay.retries("models")
     window.ratio, window.extra = 0.0, 0.0
@@ -47,33 +47,35 @@
 async def test_a_stream_that_may_go_nowhere_else_outlasts_a_silence(
     replicas, has_budget
 ):
-    """A stream is cut while its replica, behind a huge prompt, is only silent.
+    """A replica is silent while it reads a huge prompt, and no other one may be tried.
 
-    Its attempts or the retry budget are used up, or there is no other replica.
+    Either the attempts or the retry budget are used up, or there is no other replica.
+    Guards against aborting a stream whose replica would continue.
     """
     async with Relayed(replicas=replicas, config=make_patient_config()) as fleet:
-        let_pause(fleet, "pause")
+        script_pauses(fleet, "pause")
         if not has_budget:
-            forbid_retries(fleet.relays[0])
+            exhaust_retry_budget(fleet.relays[0])
         answer = await fleet.stream(deadline_ms=10_000)
-    assert answer.content == WHOLE
+    assert answer.content == WHOLE_STREAM
 
 
 @pytest.mark.parametrize(("is_heard", "status"), [(True, 200), (False, 502)])
 async def test_a_lookup_that_may_go_nowhere_else_stays_at_a_living_replica_only(
     is_heard, status
 ):
-    """A lookup gets 502 from a node whose retry budget is used up.
+    """A replica answers later than the usual timeout, with the retry budget used up.
 
-    Its replica, which others hear, answers in time, but later than others are usually
-    asked. One that nobody hears is taken for dead, and its caller is answered at once.
+    Guards against answering 502 if peers report the replica alive and it answers before
+    the deadline. A replica that no peer reports is taken for dead, and the caller is
+    answered at once.
     """
     async with Relayed(config=make_patient_config()) as fleet:
-        let_pause(fleet, "late")
-        forbid_retries(fleet.relays[0])
+        script_pauses(fleet, "late")
+        exhaust_retry_budget(fleet.relays[0])
         async with anyio.create_task_group() as group:
             if is_heard:
-                group.start_soon(hear_of_all, fleet)
+                group.start_soon(report_replicas_alive, fleet)
             begun_s = time.monotonic()
             answer = await fleet.look(deadline_ms=10_000)
             took_s = time.monotonic() - begun_s
@@ -87,15 +89,16 @@
 async def test_a_stream_that_has_not_begun_stays_at_a_living_replica_only(
     is_heard, status
 ):
-    """A prompt that may go nowhere else is given up while its replica reads for others.
+    """A replica reads other prompts, and the stream may not go elsewhere.
 
-    A node that nobody tells of the replica takes it for dead, and answers at once.
+    Guards against giving up a prompt at a replica that peers report alive. A node that
+    gets no such report takes the replica for dead and answers the caller at once.
     """
     async with Relayed(replicas=1, config=make_patient_config()) as fleet:
-        let_pause(fleet, "late")
+        script_pauses(fleet, "late")
         async with anyio.create_task_group() as group:
             if is_heard:
-                group.start_soon(hear_of_all, fleet)
+                group.start_soon(report_replicas_alive, fleet)
             begun_s = time.monotonic()
             answer = await fleet.stream(deadline_ms=10_000)
             took_s = time.monotonic() - begun_s
@@ -105,9 +108,9 @@
 
 
 async def test_a_stream_that_has_begun_waits_for_a_replica_to_go_on_at():
-    """A stream's replica breaks off while no other one is in the registry.
+    """A stream's replica breaks off while the registry lists no other one.
 
-    The next one is there within the time that the caller waits for an event.
+    The next replica is listed within the time that the caller waits for an event.
     """
     spare = Replica("r-spare", events=EVENTS)
     async with (
@@ -125,4 +128,4 @@
         async with anyio.create_task_group() as group:
             group.start_soon(add_spare)
             answer = await fleet.stream(deadline_ms=10_000)
-    assert answer.content == WHOLE
+    assert answer.content == WHOLE_STREAM
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -1,4 +1,4 @@
-"""An answer that still comes isn't ended before another one is there."""
+"""An answer that may still come isn't given up before another one has begun."""
 
 import math
 import time
@@ -15,10 +15,10 @@
 pytestmark = pytest.mark.anyio
 
 EVENTS = 8
-WHOLE = b"".join(make_event(number) for number in range(1, EVENTS + 1))
+WHOLE_STREAM = b"".join(make_event(number) for number in range(1, EVENTS + 1))
 PAUSE_S = 1.6
 """Longer than a node waits for an event before it tries another replica, and shorter
-than the 2 s after which callers give a stream up."""
+than the 2 s after which callers give up a stream."""
 
 
 @pytest.fixture
@@ -26,15 +26,15 @@
     return "asyncio"
 
 
-def set_up(replicas, steps, *, pause_s=PAUSE_S):
-    """Let each replica's first answers go by their steps."""
+def script_replicas(replicas, steps, *, pause_s=PAUSE_S):
+    """Make the first answers of each replica follow the steps."""
     for replica in replicas:
         replica.events, replica.script = EVENTS, list(steps)
         replica.long_pause_s = pause_s
 
 
-def start_job(relay, replica, *, read_s=0.0, kv_tokens=0):
-    """Let a node believe that a replica works on something else for 20 s."""
+def add_job(relay, replica, *, read_s=0.0, kv_tokens=0):
+    """Register a job of 20 s at a replica on a node's board."""
     now_s = time.monotonic()
     started = Started(
         relay.node, relay.next_job(), (Part(replica, read_s, kv_tokens, True),),
@@ -44,37 +44,38 @@
 
 
 async def read_stream(fleet, **fields):
-    """Return a stream's bytes and its longest pause in s, cut or not."""
-    parts, longest_s = [], 0.0
+    """Return the bytes of a stream, aborted or not, and its longest pause in s."""
+    parts, longest_pause_s = [], 0.0
     try:
         async with fleet.open_stream(deadline_ms=10_000, **fields) as answer:
             last_s = time.monotonic()
             async for part in answer.aiter_raw():
                 now_s = time.monotonic()
-                longest_s, last_s = max(longest_s, now_s - last_s), now_s
+                longest_pause_s, last_s = max(longest_pause_s, now_s - last_s), now_s
                 parts.append(part)
     except httpx.RemoteProtocolError:
         parts.append(b"(cut)")
-    return b"".join(parts), longest_s
+    return b"".join(parts), longest_pause_s
 
 
 async def test_a_stream_that_may_not_be_repeated_stays_at_a_living_replica():
-    """A stream that may run once is ended before its head, and gets 502.
+    """A replica is late with the head of a stream that may run only once.
 
-    No other replica may follow: it was sent, and may not be repeated.
+    No other replica may be tried. Guards against ending the attempt before its head
+    arrives, by which the caller got 502.
     """
     async with Relayed(config=make_patient_config()) as fleet:
         (relay,) = fleet.relays
-        set_up(fleet.replicas, ["late"])
+        script_replicas(fleet.replicas, ["late"])
 
-        async def hear_of_all():
+        async def report_replicas_alive():
             while True:
                 for replica in fleet.replicas:
                     relay.trust.hear_of(replica.name, now_s=time.monotonic())
                 await anyio.sleep(0.1)
 
         async with anyio.create_task_group() as group:
-            group.start_soon(hear_of_all)
+            group.start_soon(report_replicas_alive)
             answer = await fleet.stream(path="/stream-once/s", deadline_ms=10_000)
             group.cancel_scope.cancel()
         retries = len(relay.retries("models")._retries)
@@ -83,13 +84,14 @@
 
 @pytest.mark.parametrize("fault", ["refuse", "other", "unreachable"])
 async def test_a_stream_goes_on_where_its_successor_takes_nothing(fault):
-    """A stream is cut since the replica that was to take it over doesn't take it.
+    """The replica that was to take over a stream refuses it or is unreachable.
 
-    The first one, which was only silent, would have gone on in time.
+    Guards against aborting the stream although the first replica was only silent and
+    would have continued in time.
     """
     spare = Replica("r-spare", events=EVENTS)
     async with Relayed(replicas=1, config=make_patient_config()) as fleet:
-        set_up(fleet.replicas, ["pause"])
+        script_replicas(fleet.replicas, ["pause"])
         spare.script = [fault]
         async with spare.server.run():
             entry = spare.entry()
@@ -103,36 +105,37 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(add_spare)
-                data, longest_s = await read_stream(fleet)
-    assert data == WHOLE
-    assert longest_s < 2.0
+                data, longest_pause_s = await read_stream(fleet)
+    assert data == WHOLE_STREAM
+    assert longest_pause_s < 2.0
 
 
 @pytest.mark.parametrize("known_as", ["reading", "suspect"])
 async def test_a_stream_is_not_moved_to_a_replica_that_is_known_to_be_late(known_as):
-    """A stream leaves a silent replica for one that is known to be no better.
+    """The only other replica reads for seconds, or is suspected itself.
 
-    It reads for seconds, or is suspected itself. The caller waits 2 s; the first
-    replica would have gone on after 1.6 s.
+    Guards against moving a stream from a silent replica to one that is known to be no
+    better. The caller waits 2 s; the first replica would have continued after 1.6 s.
     """
     async with Relayed(config=make_patient_config()) as fleet:
         (relay,) = fleet.relays
         first, second = fleet.replicas
-        set_up([first], ["pause"])
-        set_up([second], ["late"], pause_s=2.5)
+        script_replicas([first], ["pause"])
+        script_replicas([second], ["late"], pause_s=2.5)
         if known_as == "reading":
-            start_job(relay, second.name, read_s=5.0)
+            add_job(relay, second.name, read_s=5.0)
         else:
             relay.trust.suspect(second.name, now_s=time.monotonic())
-        data, longest_s = await read_stream(fleet)
-    assert data == WHOLE
-    assert longest_s < 2.0
+        data, longest_pause_s = await read_stream(fleet)
+    assert data == WHOLE_STREAM
+    assert longest_pause_s < 2.0
 
 
 async def test_streams_do_not_leave_together_for_one_place():
-    """Several streams leave a silent replica at once for memory that one can have.
+    """A silent replica has several streams, and another one has memory for one of them.
 
-    All others are cut, though the first replica would have gone on.
+    Guards against moving all streams there at once: all but one were aborted, although
+    the first replica would have continued.
     """
     spare = Replica("r-spare", events=EVENTS, pause_s=0.5)
     results = []
@@ -141,7 +144,7 @@
         Relayed(replicas=1, config=make_patient_config()) as fleet,
     ):
         (relay,) = fleet.relays
-        set_up(fleet.replicas, ["pause"] * 8)
+        script_replicas(fleet.replicas, ["pause"] * 8)
 
         async def read():
             results.append(await read_stream(fleet, tokens="1000,10000"))
@@ -150,13 +153,13 @@
             for _ in range(8):
                 group.start_soon(read)
             await fleet.wait_for(lambda: len(fleet.runs()) == 8)
-            start_job(relay, spare.name, kv_tokens=85_000)
+            add_job(relay, spare.name, kv_tokens=85_000)
             fleet.store.put("keyed.servers", spare.name, spare.entry())
-    assert [data for data, _ in results] == [WHOLE] * 8
+    assert [data for data, _ in results] == [WHOLE_STREAM] * 8
 
 
-class Full(Replica):
-    """A replica that can be told to set no more memory aside."""
+class FullReplica(Replica):
+    """A replica that can be made to refuse all further reservations."""
 
     is_full = False
 
@@ -168,31 +171,32 @@
 
 
 async def test_a_shared_stream_stays_where_its_memory_is():
-    """A stream leaves a silent replica before memory is set aside at others."""
-    replicas = [Full(f"r-{index}") for index in range(5)]
+    """Guards against leaving a silent replica before memory is reserved at others."""
+    replicas = [FullReplica(f"r-{index}") for index in range(5)]
     fleet = Relayed(replicas=0, config=make_patient_config())
     fleet.replicas += replicas
     async with fleet:
-        set_up(fleet.replicas, ["pause"])
+        script_replicas(fleet.replicas, ["pause"])
 
-        async def fill():
+        async def fill_replicas():
             await fleet.wait_for(fleet.runs)
             for replica in replicas:
                 replica.is_full = True
 
         async with anyio.create_task_group() as group:
-            group.start_soon(fill)
+            group.start_soon(fill_replicas)
             data, _ = await read_stream(fleet, tokens="130000,200")
-    assert data == WHOLE
+    assert data == WHOLE_STREAM
 
 
 async def test_a_shared_prompt_at_a_dead_replica_is_tried_at_others():
-    """A replica dies without a word before a prompt that several hold has begun.
+    """A replica dies silently before the answer to a prompt with shared memory begins.
 
-    The second attempt never asked for memory, and the first one's was held for seconds.
+    Guards against a second attempt that never reserved memory, while the memory of the
+    first attempt stayed reserved for seconds.
     """
     async with Relayed(replicas=6, config=make_patient_config()) as fleet:
-        set_up(fleet.replicas, ["silent"])
+        script_replicas(fleet.replicas, ["silent"])
         for replica in fleet.replicas:
             replica.events = EVENTS
 
@@ -206,30 +210,32 @@
             begun_s = time.monotonic()
             data, _ = await read_stream(fleet, tokens="130000,200")
             took_s = time.monotonic() - begun_s
-    assert data == WHOLE
+    assert data == WHOLE_STREAM
     assert took_s < 4.0
 
 
 async def test_a_stream_that_has_begun_asks_a_full_replica_again():
-    """A stream is cut since the only other replica was full for a moment.
+    """A stream's replica breaks off while the only other replica is briefly full.
 
-    It never ran there, and the route allows one more attempt.
+    Guards against aborting the stream: it never ran at the full replica, and the route
+    allows one more attempt.
     """
     async with Relayed(config=make_patient_config(attempts=3)) as fleet:
         steps = ["break", "refuse"]
         for replica in fleet.replicas:
             replica.events, replica.script = EVENTS, steps
         data, _ = await read_stream(fleet)
-    assert data == WHOLE
+    assert data == WHOLE_STREAM
 
 
 async def test_a_lookup_at_a_dead_replica_is_answered_at_once():
-    """A lookup that may go nowhere else is held until its time is up.
+    """A lookup may go nowhere else, and no peer reports its replica alive.
 
-    Nobody hears of its replica; its caller could come back through another node.
+    Guards against holding it until its deadline: the caller could retry through another
+    node.
     """
     async with Relayed(replicas=1, config=make_patient_config()) as fleet:
-        set_up(fleet.replicas, ["silent"])
+        script_replicas(fleet.replicas, ["silent"])
         begun_s = time.monotonic()
         answer = await fleet.look(deadline_ms=4_000)
         took_s = time.monotonic() - begun_s
@@ -237,9 +243,10 @@
 
 
 async def test_a_dead_replica_is_left_alone_while_no_retry_is_left():
-    """Lookups go to a dead replica one after the other, and each is held to its end.
+    """Lookups are sent to a dead replica while the retry budget is used up.
 
-    Nobody suspects a replica at which a request stays.
+    Guards against sending one after the other there, each held until its deadline: a
+    replica at which a request stays must become suspected as well.
     """
     async with Relayed(config=make_patient_config()) as fleet:
         (relay,) = fleet.relays
@@ -252,9 +259,9 @@
 
 
 async def test_a_stream_that_stays_ends_at_its_time_limit():
-    """A stream that stays at a silent replica is held beyond its time limit."""
+    """Guards against holding a stream at a silent replica beyond its deadline."""
     async with Relayed(replicas=1, config=make_patient_config()) as fleet:
-        set_up(fleet.replicas, ["stall"])
+        script_replicas(fleet.replicas, ["stall"])
         begun_s = time.monotonic()
         with pytest.raises(httpx.RemoteProtocolError):
             await fleet.stream(deadline_ms=3_000)
@@ -263,26 +270,29 @@
 
 
 async def test_a_replica_stops_when_the_caller_of_a_silent_stream_leaves():
-    """A replica works on for a caller that left while the node stayed with it."""
+    """Guards against a replica working on after the caller of a silent stream left."""
     async with Relayed(replicas=1, config=make_patient_config()) as fleet:
-        set_up(fleet.replicas, ["stall"])
+        script_replicas(fleet.replicas, ["stall"])
         (replica,) = fleet.replicas
         async with fleet.open_stream(deadline_ms=10_000) as answer:
             assert answer.status_code == 200
             await anyio.sleep(2.0)
-        left_s = time.monotonic()
+        disconnected_s = time.monotonic()
         await fleet.wait_for(lambda: replica.cancelled_s)
-        assert replica.cancelled_s[0] - left_s < 0.3
+        assert replica.cancelled_s[0] - disconnected_s < 0.3
 
 
 async def test_a_caller_that_leaves_while_its_stream_looks_for_a_place_is_let_go():
-    """A stream whose caller left while it looked for a place reaches a replica."""
+    """Guards against sending a stream to a replica after its caller left.
+
+    The caller leaves while the stream waits for a placement.
+    """
     spare = Replica("r-spare", events=EVENTS)
     async with (
         spare.server.run(),
         Relayed(replicas=1, config=make_patient_config()) as fleet,
     ):
-        set_up(fleet.replicas, ["break"])
+        script_replicas(fleet.replicas, ["break"])
         async with fleet.open_stream(deadline_ms=10_000) as answer:
             assert answer.status_code == 200
             await anyio.sleep(0.5)
@@ -294,10 +304,13 @@
 
 @pytest.mark.parametrize("replicas", [1, 2])
 async def test_a_stream_outlasts_a_configuration_that_takes_its_route_away(replicas):
-    """A stream is cut as its route, its customer's key and its service are removed."""
+    """A new configuration removes a stream's route, service and customer key.
+
+    Guards against aborting a stream that is running.
+    """
     async with Relayed(replicas=replicas, config=make_patient_config()) as fleet:
         (relay,) = fleet.relays
-        set_up(fleet.replicas, ["pause"])
+        script_replicas(fleet.replicas, ["pause"])
 
         async def configure():
             await fleet.wait_for(fleet.runs)
@@ -315,13 +328,13 @@
             group.start_soon(configure)
             data, _ = await read_stream(fleet)
         assert relay.table.routing.version == 2
-    assert data == WHOLE
+    assert data == WHOLE_STREAM
 
 
-async def test_all_nodes_hear_of_a_replica_that_broke_off():
-    """Nine replicas die at one moment, and each node finds every one for itself.
+async def test_all_nodes_are_told_of_a_replica_that_broke_off():
+    """Nine replicas die at once, and each node detects each failure on its own.
 
-    A stream tried three dead replicas, one after the other, for 0.4 s.
+    Guards against a stream trying three dead replicas one after the other, for 0.4 s.
     """
     async with Relayed(relays=2, config=make_patient_config()) as fleet:
         await fleet.wait_for(
@@ -342,4 +355,4 @@
         other = fleet.relays[1]
         await fleet.wait_for(lambda: math.isfinite(other.trust.troubled_s(broken)))
         assert not other.trust.is_suspect(broken, now_s=time.monotonic())
-    assert data == WHOLE
+    assert data == WHOLE_STREAM
