--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_place.py
@@ -1,4 +1,4 @@
-"""Choose the replica for a call, within the cold limits and the retry budget."""
+"""Choose the replica for a call, within the cold limits."""
 
 import anyio
 
