--- a/lycheetide/relay/__init__.py
+++ b/lycheetide/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Relay callers' requests to replicas and bring each its own answer."""
+"""Forward clients' requests to replicas and return each response to its client."""
 
 from lycheetide.relay._run import run_relay
 
--- a/lycheetide/relay/_datagrams.py
+++ b/lycheetide/relay/_datagrams.py
@@ -1,11 +1,11 @@
-"""Sockets for the datagrams between nodes, and what a datagram is about."""
+"""Sockets for datagrams between nodes, and classification of datagrams."""
 
 import socket
 
-DATAGRAMS_MOST = 64
-"""Datagrams taken in one turn, some 4 ms of work."""
-LARGEST_DATAGRAM_BYTES = 65_535
-KINDS = {
+MAX_DATAGRAMS_PER_TURN = 64
+"""Datagrams received in one turn of the event loop, some 4 ms of work."""
+MAX_DATAGRAM_BYTES = 65_535
+KIND_BY_TAG = {
     b"s": "work",
     b"e": "work",
     b"b": "work",
@@ -15,33 +15,34 @@
     b"c": "changes",
     b"h": "greetings",
 }
-"""What a message is about, by its tag."""
-LONG_ARRAY = 0xDC
-"""First byte of a message of more than 15 fields; its length takes two more."""
+"""Category of a message by its tag."""
+MSGPACK_ARRAY16 = 0xDC
+"""First byte of a MessagePack array of more than 15 fields; its length takes two more
+bytes."""
 
 
-def find_kind(data):
-    """Return what a datagram is about.
+def classify_datagram(data):
+    """Return the category of a datagram.
 
     Examples
     --------
     >>> from lycheetide.board import Ended, Hello, encode_message
-    >>> find_kind(encode_message(Ended("n", "1")))
+    >>> classify_datagram(encode_message(Ended("n", "1")))
     'work'
-    >>> find_kind(encode_message(Hello("", "", "", "", 0, 0, 0.0)))
+    >>> classify_datagram(encode_message(Hello("", "", "", "", 0, 0, 0.0)))
     'greetings'
     """
-    begins = 4 if data[0] == LONG_ARRAY else 2
-    return KINDS.get(data[begins : begins + 1], "other")
+    tag_offset = 4 if data[0] == MSGPACK_ARRAY16 else 2
+    return KIND_BY_TAG.get(data[tag_offset : tag_offset + 1], "other")
 
 
 def make_listener(address):
-    """Return the socket that takes peers' datagrams.
+    """Return a non-blocking socket that receives peers' datagrams.
 
     Parameters
     ----------
     address : str
-        "ip:port".
+        Address to bind, "ip:port".
     """
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -51,24 +52,25 @@
 
 
 def receive_all(listener):
-    """Yield the datagrams that are there, at most so many that others get their turn.
+    """Yield the waiting datagrams, up to a limit so that other tasks can run.
 
-    An error, such as a report that an earlier datagram reached nobody, ends the round.
+    An error, such as a report that an earlier datagram couldn't be delivered, ends the
+    turn.
     """
-    for _ in range(DATAGRAMS_MOST):
+    for _ in range(MAX_DATAGRAMS_PER_TURN):
         try:
-            yield listener.recv(LARGEST_DATAGRAM_BYTES)
+            yield listener.recv(MAX_DATAGRAM_BYTES)
         except OSError:
             return
 
 
 def make_sender(address):
-    """Return a socket that sends datagrams at once or not at all.
+    """Return a socket that sends datagrams without blocking.
 
     Parameters
     ----------
     address : str
-        "ip:port" of this node; the socket gets another port there.
+        Address of this node, "ip:port"; the socket gets another port on the same IP.
     """
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sender.bind((address.rpartition(":")[0], 0))
--- a/lycheetide/relay/_evidence.py
+++ b/lycheetide/relay/_evidence.py
@@ -1,4 +1,4 @@
-"""Note what answers and failed attempts tell of replicas."""
+"""Record what responses and failed attempts show about the health of replicas."""
 
 import math
 
@@ -8,9 +8,9 @@
 
 
 def suspect(relay, replica, why):
-    """Leave a replica alone for a while, here and at all other nodes.
+    """Suspect a replica, so that this node and all others avoid it for a while.
 
-    One that is left alone already was told of and logged then.
+    A replica that is already suspected was reported and logged when that began.
     """
     if not relay.trust.suspect(replica, now_s=read_clock()):
         return
@@ -20,10 +20,11 @@
 
 
 def doubt(relay, replica):
-    """Take a replica that broke an answer off for the second choice, at all nodes.
+    """Mark a replica that broke off a response as second choice, at all nodes.
 
-    Replicas that die at one moment break their streams off at many nodes. Did each node
-    keep to itself what it saw, streams would move from one dead replica to the next.
+    Replicas that die at the same time break off streams at many nodes. If each node
+    kept its observations to itself, streams would move from one dead replica to the
+    next.
     """
     if relay.trust.doubt(replica, now_s=read_clock()):
         relay.tell_work(Doubted(relay.node, replica))
@@ -31,7 +32,7 @@
 
 
 def note_answer(relay, replica, answer):
-    """Take in what an answer's head tells of its replica and of others."""
+    """Record what a response head shows about its replica and about others."""
     now_s = read_clock()
     relay.trust.hear(replica, now_s=now_s)
     if answer.is_unstarted and answer.at_fault:
@@ -41,11 +42,11 @@
 
 
 def note_failure(relay, call, placement, failure):
-    """Note how an attempt failed."""
+    """Record a failed attempt."""
     call.may_have_run = call.may_have_run or failure.may_have_run
     is_helped = bool(placement.helpers or placement.holders)
     if failure.cause is Cause.REFUSED and is_helped and not failure.names_helper:
-        # Which of them was at fault isn't known, so all of them are left out.
+        # Which helper was at fault isn't known, so the next attempt uses none.
         call.helpers_refused = True
     if failure.cause is Cause.REFUSED and not failure.may_have_run:
         call.note_refused(placement.first.id, now_s=read_clock())
@@ -54,9 +55,10 @@
     if failure.cause is Cause.SILENT:
         suspect(relay, placement.first.id, "silent")
     if failure.cause is Cause.OTHER_REPLICA:
-        # Nothing was sent to the replica that was meant: it is gone, and its address is
-        # used again or it has started anew. Two of them in a row would leave a request
-        # without an attempt while sound replicas have room.
+        # Nothing was sent to the intended replica: it is gone and its address was
+        # reused, or it has restarted. The attempt isn't counted, since two of these in
+        # a row would leave a request without attempts while healthy replicas have
+        # capacity.
         call.sent -= 1
         suspect(relay, placement.first.id, "another replica answers there")
     relay.counters.add(f"attempts_failed.{failure.cause}")
@@ -69,22 +71,23 @@
             "detail": str(failure),
             "may_have_run": call.may_have_run,
             "sent": call.sent,
-            **describe_evidence(relay, placement.first.id, now_s=read_clock()),
+            **make_health_fields(relay, placement.first.id, now_s=read_clock()),
         },
     )
 
 
-def describe_evidence(relay, replica, *, now_s):
-    """Return what the log says of a replica's life, in ms.
+def make_health_fields(relay, replica, *, now_s):
+    """Return the log fields that describe a replica's health, in ms.
 
     Returns
     -------
     dict
-        ``heard_ms``: how long ago this node or a peer had an answer of it, left out
-        where none did; ``reads_ms``: how much longer it reads prompts.
+        ``heard_ms``: time since this node or a peer last had a response from the
+        replica, omitted if neither ever had; ``reads_ms``: time for which it will still
+        be reading prompts.
     """
-    evidence = {"reads_ms": round(relay.board.backlog_s(replica, now_s=now_s) * 1e3)}
+    fields = {"reads_ms": round(relay.board.backlog_s(replica, now_s=now_s) * 1e3)}
     heard_s = relay.trust.heard_s(replica)
     if math.isfinite(heard_s):
-        evidence["heard_ms"] = round((now_s - heard_s) * 1e3)
-    return evidence
+        fields["heard_ms"] = round((now_s - heard_s) * 1e3)
+    return fields
--- a/lycheetide/relay/_reload.py
+++ b/lycheetide/relay/_reload.py
@@ -1,7 +1,7 @@
-"""Take over settings that change while the node runs, and cut nothing.
+"""Apply changed settings while the node runs, without interrupting requests.
 
-The settings file may change with a signal or without one. A node that restarted for it
-would cut its callers' requests; a broken file must not end it either.
+The settings file may change with or without a signal. Restarting the node for it would
+cut off its clients' requests, and a broken file must not stop the node either.
 """
 
 from dataclasses import replace
@@ -11,8 +11,9 @@
 from lycheetide.settings import RelaySettings, read_settings
 
 LOOK_S = 2.0
-"""Pause between looks at the file; a change without a signal is in force after that."""
-FIXED = frozenset(
+"""Interval at which the file is checked; a change without a signal is applied after
+it."""
+RESTART_REQUIRED = frozenset(
     {
         "name",
         "region",
@@ -27,51 +28,58 @@
         "log_lines_per_s",
     }
 )
-"""Settings that need a restart: sockets are open, and peers know the node by them."""
+"""Settings that need a restart: they name open sockets or identify the node to
+peers."""
 
 
-def merge_settings(present, wanted):
-    """Return the settings to go on with, and what would need a restart.
+def merge_settings(current, requested):
+    """Return the settings to continue with, and those that would need a restart.
 
     Parameters
     ----------
-    present, wanted : RelaySettings
-        What is in force, and what the file says now.
+    current, requested : RelaySettings
+        Settings in use, and settings that the file contains now.
 
     Returns
     -------
     settings : RelaySettings
-        What is wanted, but for fixed ones.
-    kept : list of str
-        Names of fixed settings that differ.
+        The requested settings, except for those that need a restart.
+    needs_restart : list of str
+        Names of the settings that differ but need a restart.
     """
-    kept = sorted(
-        name for name in FIXED if getattr(present, name) != getattr(wanted, name)
+    needs_restart = sorted(
+        name
+        for name in RESTART_REQUIRED
+        if getattr(current, name) != getattr(requested, name)
     )
-    return replace(wanted, **{name: getattr(present, name) for name in FIXED}), kept
+    return replace(
+        requested, **{name: getattr(current, name) for name in RESTART_REQUIRED}
+    ), needs_restart
 
 
 def reload_settings(relay, path):
-    """Read the file again and put in force what can be; log what can't."""
+    """Read the file again, apply what can be changed, and log what can't."""
     try:
-        wanted = read_settings(path)
+        requested = read_settings(path)
     except OSError as error:
-        refuse_settings(relay, [str(error)])
+        reject_settings(relay, [str(error)])
         return
     except ExceptionGroup as group:
-        refuse_settings(relay, [str(error) for error in group.exceptions])
+        reject_settings(relay, [str(error) for error in group.exceptions])
         return
-    if not isinstance(wanted, RelaySettings):
-        refuse_settings(relay, ["got a file without [relay], expected a relay's"])
+    if not isinstance(requested, RelaySettings):
+        reject_settings(relay, ["got a file without [relay], expected a relay's"])
         return
-    settings, kept = merge_settings(relay.settings, wanted)
-    relay.take_settings(settings)
+    settings, needs_restart = merge_settings(relay.settings, requested)
+    relay.apply_settings(settings)
     relay.counters.add("settings.reloaded")
-    relay.log.info("The settings were read again.", extra={"need_a_restart": kept})
+    relay.log.info(
+        "The settings were read again.", extra={"need_a_restart": needs_restart}
+    )
 
 
-def refuse_settings(relay, findings):
-    """Count and log a file that can't be used."""
+def reject_settings(relay, findings):
+    """Count and log a settings file that can't be used."""
     relay.counters.add("settings.broken")
     relay.log.error(
         "The settings file is broken; nothing changes.", extra={"findings": findings}
@@ -79,7 +87,7 @@
 
 
 async def watch_settings(relay):
-    """Read the file again whenever it has changed, for ever."""
+    """Read the file again whenever its content changes, forever."""
     path = relay.settings_path
     if not path:
         await anyio.sleep_forever()
@@ -93,7 +101,7 @@
 
 
 def read_text(path):
-    """Return a file's text, or nothing where it can't be read."""
+    """Return a file's text, or an empty string if it can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
--- a/lycheetide/relay/_run.py
+++ b/lycheetide/relay/_run.py
@@ -1,4 +1,4 @@
-"""Start a relay, keep its parts running, and stop it without cutting a request."""
+"""Start a relay, keep its tasks running, and stop it without cutting off requests."""
 
 import os
 import signal
@@ -19,15 +19,15 @@
 from lycheetide.tasks import GuardedTasks, keep_running, watch_standstill
 
 EXIT_MARGIN_S = 0.7
-"""Kept back of the time that a planned stop may take, for the exit itself."""
-BACKLOG = 512
-START_LOOK_S = 0.02
-OWN_IDLE_S = 60.0
+"""Part of the time allowed for a planned stop that is reserved for the exit itself."""
+LISTEN_BACKLOG = 512
+START_POLL_S = 0.02
+INTERNAL_IDLE_S = 60.0
 """How long connections of the platform and of peers may stay idle."""
 
 
 def make_server_config(settings, address, *, idle_s, header_bytes=65_536):
-    """Return the settings of one HTTP server."""
+    """Return the configuration of one HTTP server."""
     graceful_s = settings.stop_s - settings.stop_notice_s - EXIT_MARGIN_S
     config = Config()
     config.bind = [address]
@@ -40,15 +40,16 @@
     config.h11_max_incomplete_size = header_bytes
     config.h11_pass_raw_headers = False
     config.graceful_timeout = max(0.1, graceful_s)
-    config.backlog = BACKLOG
+    config.backlog = LISTEN_BACKLOG
     return config
 
 
-async def follow_signals(relay, *, task_status):
-    """Take signals for ever: SIGHUP tells of a settings file that changed.
+async def handle_signals(relay, *, task_status):
+    """Handle signals forever; SIGHUP reports a changed settings file.
 
-    They are taken to the very end of the process. With nobody to take them their
-    default is to end it, and a hangup would cut the requests of a node that leaves.
+    They are handled until the very end of the process. Without a handler their default
+    action is to terminate it, and a hangup would cut off the requests of a node that is
+    draining.
     """
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -62,34 +63,34 @@
 
 
 async def run_relay(
-    settings, adapter, *, settings_path="", follow_stop=follow_signals, on_start=None
+    settings, adapter, *, settings_path="", follow_stop=handle_signals, on_start=None
 ):
     """Run a relay until it is told to stop.
 
     Parameters
     ----------
     settings : RelaySettings
-        What it is told.
+        Settings of the node.
     adapter : module
-        Speaks with the platform that it runs on.
+        Implements the protocols of the platform that the relay runs on.
     settings_path : str
-        The file that is read again when it changes; empty for none.
+        File that is read again when it changes; empty for none.
     follow_stop : callable
-        A task that sets the relay's ``told_to_stop``; by default by the signals of the
-        process.
+        Task that sets the relay's ``told_to_stop``; by default it handles the signals
+        of the process.
     on_start : callable or None
-        Gets the relay's state.
+        Called with the relay's state.
     """
     process_age_s = read_process_age_s()
     node = f"{settings.name}.{time.time_ns() % 10**9:x}.{os.getpid():x}"
     relay = RelayState(settings, adapter, node, settings_path=settings_path)
     listener = make_listener(settings.peer_address)
     gossip = Gossip(relay, listener)
-    relay.tell_work = gossip.spreader.tell
-    relay.tell_change = gossip.spreader.tell_all
-    relay.tell_near = gossip.spreader.tell_near
-    relay.tell_news = gossip.tell_news
-    relay.take_news = gossip.take_waiting
+    relay.tell_work = gossip.broadcaster.broadcast_via_hubs
+    relay.broadcast_change = gossip.broadcaster.broadcast
+    relay.broadcast_to_domain = gossip.broadcaster.broadcast_to_domain
+    relay.trigger_heartbeat = gossip.trigger_heartbeat
+    relay.take_news = gossip.receive_pending
     stopped = anyio.Event()
     async with anyio.create_task_group() as group:
         relay.tasks = GuardedTasks(group, relay.counters)
@@ -98,7 +99,7 @@
             follow_registry,
             gossip.listen,
             gossip.greet,
-            gossip.spreader.pass_on,
+            gossip.broadcaster.pass_on,
             gossip.expire,
             watch_settings,
             watch_standstill,
@@ -115,9 +116,9 @@
             if on_start is not None:
                 on_start(relay)
             await relay.told_to_stop.wait()
-            await _leave(relay)
-            # The servers end by themselves, and requests that run still need the other
-            # parts; cancelled, they would be cut.
+            await _drain(relay)
+            # The servers end by themselves, and running requests still need the other
+            # tasks; if those were cancelled, the requests would be cut off.
             stopped.set()
         group.cancel_scope.cancel()
     relay.used.log(relay, now_s=read_clock(), is_last=True)
@@ -133,9 +134,9 @@
     Parameters
     ----------
     relay : RelayState
-        This node.
+        State of this node.
     process_age_s : float or None
-        How long the process had run when it began to serve: the interpreter, the
+        Age of the process when it began to serve: the time to load the interpreter, the
         libraries and the settings.
     """
     steps = {
@@ -148,38 +149,38 @@
         for name, is_done in steps.items():
             if name not in took_ms and is_done():
                 took_ms[name] = (read_clock() - relay.started_s) * 1e3
-        await anyio.sleep(START_LOOK_S)
+        await anyio.sleep(START_POLL_S)
     extra = {name: round(value) for name, value in took_ms.items()}
     relay.log.info("The node takes callers.", extra=extra)
 
 
 def list_apps(relay):
-    """Return each application of a relay with its address and idle time."""
+    """Return each application of a relay with its address and idle timeout."""
     settings = relay.settings
     apps = (
         (make_ingress(relay), settings.caller_address, settings.idle_s),
-        (make_readiness(relay), settings.readiness_address, OWN_IDLE_S),
-        (make_peer_app(relay), settings.peer_address, OWN_IDLE_S),
-        (relay.exposition.make_app(), settings.metrics_address, OWN_IDLE_S),
+        (make_readiness(relay), settings.readiness_address, INTERNAL_IDLE_S),
+        (make_peer_app(relay), settings.peer_address, INTERNAL_IDLE_S),
+        (relay.exposition.make_app(), settings.metrics_address, INTERNAL_IDLE_S),
     )
     return [row for row in apps if row[1]]
 
 
 async def _serve(app, config, stopped):
-    """Serve one application until the node has stopped."""
+    """Serve one application until the node stops."""
     await serve(app, config, shutdown_trigger=stopped.wait)
 
 
-async def _leave(relay):
-    """Leave without cutting a request.
+async def _drain(relay):
+    """Drain the node without cutting off a request.
 
-    The balancer lags, and callers go on using open connections; so the node says that
-    it isn't ready, serves whatever comes, and asks each caller to open another
-    connection. After that it takes nothing more: its servers close idle connections
-    and let the running requests end. Were it to take requests until its last second,
-    it would cut those that take longer.
+    The load balancer reacts late, and clients go on using open connections. So the node
+    first reports that it isn't ready, still serves every request, and asks each client
+    to open another connection. After that it accepts nothing more: its servers close
+    idle connections and let running requests finish. If it accepted requests until its
+    last second, it would cut off those that take longer.
     """
     relay.is_leaving = True
-    relay.tell_news()
+    relay.trigger_heartbeat()
     relay.log.info("The node is leaving.", extra={"active": relay.active})
     await anyio.sleep(relay.settings.stop_notice_s)
--- a/lycheetide/relay/_spreading.py
+++ b/lycheetide/relay/_spreading.py
@@ -1,8 +1,9 @@
-"""Tell the other nodes what this one does, with few datagrams in a large fleet.
+"""Broadcast this node's work to the other nodes, with few datagrams in a large fleet.
 
-In a small fleet each message goes to every node. In a large one that costs each node
-as much as the whole fleet has work, so a message goes to one node in each failure
-domain, the hub, which gathers what comes within a moment and passes it on there.
+In a small fleet each message goes to every node directly. In a large one each node
+would then spend as much as the work of the whole fleet takes. There a message goes to
+one node of each failure domain, the hub, which collects messages for a short time and
+forwards them to its domain in bundles.
 """
 
 import anyio
@@ -12,84 +13,85 @@
 from lycheetide.relay._state import read_clock
 
 LARGE_FLEET = 24
-"""Nodes from which on messages are gathered. With fewer, gathering saves less than the
-time by which it makes knowledge older."""
-GATHER_S = 0.012
-"""How long a hub gathers. The longer, the fewer datagrams, and the later all nodes know
-of one another's work; short prompts miss their targets by that first."""
-TOLD_S = 0.003
-"""How late a node knows of another one's work: the way between failure domains, and
-what both ends take for it."""
-BUNDLE_BYTES = 1_300
-"""Messages in one datagram, so that it fits a frame."""
-
-
-class Spreader:
-    """Sends this node's messages, and gathers others' where it is a hub.
+"""Number of nodes from which on messages are bundled. In a smaller fleet bundling saves
+less than it costs by making state older."""
+BUNDLE_DELAY_S = 0.012
+"""How long a hub collects messages. A longer delay saves datagrams, but nodes then
+learn later of each other's work, and requests with short prompts are the first to miss
+their latency targets."""
+PROPAGATION_S = 0.003
+"""Time until a node learns of another node's work: the network between failure domains
+and the processing at both ends."""
+MAX_BUNDLE_BYTES = 1_300
+"""Size of the messages in one datagram, so that it fits an Ethernet frame."""
+
+
+class Broadcaster:
+    """Broadcasts this node's messages, and forwards others' messages if it is a hub.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        State of this node.
     send : callable
-        Sends bytes to an address, without waiting.
+        Sends bytes to an address, without blocking.
     """
 
     def __init__(self, relay, send):
         self.relay = relay
         self._send = send
-        self._gathered = []
-        self._arrived = anyio.Event()
+        self._pending = []
+        self._message_added = anyio.Event()
 
-    def tell_all(self, message):
-        """Send a message to all peers that are alive; what can't be sent is lost."""
+    def broadcast(self, message):
+        """Send a message to all live peers; what can't be sent is lost."""
         data = encode_message(message)
         for peer in self.relay.peers.alive(now_s=read_clock()):
             self._send(data, peer.address)
 
-    def tell_near(self, message):
-        """Send a message to the living peers of this node's failure domain."""
+    def broadcast_to_domain(self, message):
+        """Send a message to the live peers of this node's failure domain."""
         data = encode_message(message)
-        for address in self._list_near(now_s=read_clock()):
+        for address in self._list_domain_addresses(now_s=read_clock()):
             self._send(data, address)
 
-    def tell(self, message):
-        """Tell all peers of this node's work."""
+    def broadcast_via_hubs(self, message):
+        """Send a message to all peers, by way of the hubs in a large fleet."""
         now_s = read_clock()
-        if not is_large(self.relay, now_s=now_s):
-            self.tell_all(message)
+        if not is_large_fleet(self.relay, now_s=now_s):
+            self.broadcast(message)
             return
         data = encode_message(Bundle(self.relay.node, (message,), spreads=True))
         for hub in find_hubs(self.relay, now_s=now_s).values():
             if hub is None:
-                self.gather(message)
+                self.add_to_bundle(message)
             else:
                 self._send(data, hub.address)
 
-    def gather(self, message):
-        """Keep a message for this node's failure domain until the next bundle."""
-        self._gathered.append(message)
-        self._arrived.set()
+    def add_to_bundle(self, message):
+        """Add a message to the next bundle for this node's failure domain."""
+        self._pending.append(message)
+        self._message_added.set()
 
     async def pass_on(self, _):
-        """Send what was gathered, for ever."""
+        """Send the collected messages in bundles, forever."""
         while True:
-            await self._arrived.wait()
-            await anyio.sleep(GATHER_S)
-            self._arrived = anyio.Event()
-            messages, self._gathered = self._gathered, []
-            self._pass_on(messages, now_s=read_clock())
+            await self._message_added.wait()
+            await anyio.sleep(BUNDLE_DELAY_S)
+            self._message_added = anyio.Event()
+            messages, self._pending = self._pending, []
+            self._send_bundles(messages, now_s=read_clock())
 
-    def _pass_on(self, messages, *, now_s):
+    def _send_bundles(self, messages, *, now_s):
         """Send messages to the nodes of this failure domain."""
-        near = self._list_near(now_s=now_s)
+        near = self._list_domain_addresses(now_s=now_s)
         for bundle in make_bundles(self.relay.node, messages):
             data = encode_message(bundle)
             for address in near:
                 self._send(data, address)
 
-    def _list_near(self, *, now_s):
-        """Return the addresses of the living peers of this node's failure domain."""
+    def _list_domain_addresses(self, *, now_s):
+        """Return the addresses of the live peers of this node's failure domain."""
         domain = self.relay.settings.failure_domain
         return [
             peer.address
@@ -98,27 +100,27 @@
         ]
 
 
-def is_large(relay, *, now_s):
-    """Tell whether the fleet is so large that messages are gathered."""
+def is_large_fleet(relay, *, now_s):
+    """Tell whether the fleet is large enough for messages to be bundled."""
     return len(relay.peers.alive(now_s=now_s)) + 1 >= LARGE_FLEET
 
 
 def find_told_s(relay, *, now_s):
-    """Return how late this node knows of what others place.
+    """Return the time until this node learns what others place, in seconds.
 
-    A link that is full, or a hub that is slow, makes it later than it has to be.
+    The measured mean delay is included: a saturated link or a slow hub adds to it.
     """
-    gathered_s = GATHER_S if is_large(relay, now_s=now_s) else 0.0
-    return TOLD_S + gathered_s + relay.delays.mean_s()
+    bundle_delay_s = BUNDLE_DELAY_S if is_large_fleet(relay, now_s=now_s) else 0.0
+    return PROPAGATION_S + bundle_delay_s + relay.delays.mean_s()
 
 
 def make_bundles(node, messages):
-    """Yield messages in bundles that fit a datagram each."""
+    """Yield bundles of the messages, each of which fits a datagram."""
     packed: list = []
     size = 0
     for message in messages:
         length = len(encode_message(message))
-        if packed and size + length > BUNDLE_BYTES:
+        if packed and size + length > MAX_BUNDLE_BYTES:
             yield Bundle(node, tuple(packed))
             packed, size = [], 0
         packed.append(message)
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -1,4 +1,4 @@
-"""All that one relay knows."""
+"""State of one relay node."""
 
 import random
 import time
@@ -35,32 +35,32 @@
 
 
 def read_clock():
-    """Return the present time on the clock that all of this node's times are on."""
+    """Return the current time of the monotonic clock that this node uses."""
     return time.monotonic()
 
 
-def _take_nothing():
-    """Stand for a node that hears nobody."""
+def _do_nothing():
+    """Do nothing; the default of callbacks until the node receives datagrams."""
 
 
 @dataclass
-class Source:
-    """What was read of one topic of the store.
+class TopicState:
+    """Records and read status of one topic of the store.
 
     Parameters
     ----------
     records : dict
-        The newest record by key.
+        Newest record by key.
     offset : int
-        The next to read; -1 before the first listing.
+        Offset of the next record to read; -1 before the first listing.
     read_s : float
-        When a read last said that nothing newer was there.
+        Time up to which the records are known to be complete.
     returned_s : float or None
-        When reads last worked again after they had failed for long.
+        When reads last succeeded again after an outage.
     is_reachable : bool
-        Whether the last read worked.
+        Whether the last read succeeded.
     failures : int
-        Reads in a row that didn't.
+        Number of consecutive failed reads.
     """
 
     records: dict
@@ -72,18 +72,18 @@
 
 
 class RelayState:
-    """One relay.
+    """State of one relay node.
 
     Parameters
     ----------
     settings : RelaySettings
-        What it is told.
+        Settings of the node.
     adapter : module
-        Speaks with the platform.
+        Implements the platform's protocols.
     node : str
-        Its name and start, never used twice.
+        Name of the node and of this start of it, never reused.
     settings_path : str
-        The file that the settings were read from; empty for none.
+        File that the settings were read from; empty for none.
     """
 
     def __init__(self, settings, adapter, node, *, settings_path=""):
@@ -100,8 +100,8 @@
         self.random = random.Random(node)
         self.table: RouteTable | None = None
         self.closed: frozenset[str] = frozenset()
-        self.operator = Source({})
-        self.registry = Source({})
+        self.operator = TopicState({})
+        self.registry = TopicState({})
         self.replicas = ReplicaTable()
         self.board = Board()
         self.trust = Trust()
@@ -117,31 +117,31 @@
         self.told_to_stop = anyio.Event()
         self.tasks = None
         self.tell_work = None
-        self.tell_change = None
-        self.tell_near = None
-        self.tell_news = None
-        self.take_news = _take_nothing
-        self.operator_read = None
-        self.operator_news = anyio.Event()
-        self.differs_since_s = None
-        self._windows: dict[str, RetryWindow] = {}
+        self.broadcast_change = None
+        self.broadcast_to_domain = None
+        self.trigger_heartbeat = None
+        self.take_news = _do_nothing
+        self.operator_read_scope = None
+        self.operator_update = anyio.Event()
+        self.digest_differs_since_s = None
+        self._retry_windows: dict[str, RetryWindow] = {}
         self._ranks: tuple[frozenset, dict] = (frozenset(), {})
-        self._job_count = 0
+        self._attempt_count = 0
         self._own_starts: dict[str, deque] = defaultdict(deque)
         self._own_placed: Counter[str] = Counter()
-        self._idle: dict[str, tuple] = {}
+        self._idle_candidates: dict[str, tuple] = {}
 
-    def take_settings(self, settings):
-        """Go on with other settings."""
+    def apply_settings(self, settings):
+        """Replace the settings and update what was derived from them."""
         self.settings = settings
-        self._idle.clear()
-        for window in self._windows.values():
+        self._idle_candidates.clear()
+        for window in self._retry_windows.values():
             window.ratio = settings.retry_ratio
             window.extra = settings.retry_extra
             window.window_s = settings.retry_window_s
 
-    def make_store(self, purpose):
-        """Return a client of the store, whose calls are counted for a purpose."""
+    def make_store_client(self, purpose):
+        """Return a store client that counts its calls under a purpose."""
         return self.adapter.StoreClient(
             self.settings.store_address,
             note_call=lambda verb: self.used.add(f"store.{purpose}.{verb}"),
@@ -149,25 +149,25 @@
 
     @property
     def place(self):
-        """This node's place among its peers, as ``Peer.place``."""
+        """This node's rank among its peers, as ``Peer.place``."""
         return -round(self.settings.link_mbps), self.order
 
     @property
     def reads_store(self):
-        """Whether the store served this node when it last asked."""
+        """Whether this node's last reads of the store succeeded."""
         return not (self.registry.failures or self.operator.failures)
 
     def awaits_first_news(self):
-        """Tell whether this node has just started, and what it has to know is coming.
+        """Tell whether this node has just started and its first state may arrive soon.
 
-        A read that has failed shows that it may not come soon.
+        After a failed read it may not arrive soon.
         """
         sources = (self.operator, self.registry)
         is_known = all(source.offset >= 0 for source in sources)
         return not is_known and not any(source.failures for source in sources)
 
-    def lags_behind(self, *, now_s):
-        """Tell whether a peer knows more of what operators wrote than this node."""
+    def is_behind_peers(self, *, now_s):
+        """Tell whether a peer has newer operator records than this node."""
         return any(
             peer.operator_offset > self.operator.offset
             for peer in self.peers.alive(now_s=now_s)
@@ -175,10 +175,10 @@
 
     def retries(self, service) -> RetryWindow:
         """Return the retry budget of a service."""
-        window = self._windows.get(service)
+        window = self._retry_windows.get(service)
         if window is None:
             settings = self.settings
-            window = self._windows[service] = RetryWindow(
+            window = self._retry_windows[service] = RetryWindow(
                 ratio=settings.retry_ratio,
                 extra=settings.retry_extra,
                 window_s=settings.retry_window_s,
@@ -186,29 +186,30 @@
         return window
 
     def next_job(self):
-        """Return a name for an attempt, never used twice by this start of the node."""
-        self._job_count += 1
-        return f"{self._job_count:x}"
+        """Return a new name for an attempt, unique within this start of the node."""
+        self._attempt_count += 1
+        return f"{self._attempt_count:x}"
 
     def note_placed(self, replica):
-        """Count a request that this node is about to send."""
+        """Count a request that this node is about to send to a replica."""
         self._own_placed[replica] += 1
 
     def note_start(self, replica, *, now_s):
-        """Count a request that this node sends."""
+        """Count a request that this node sends to a replica."""
         self._own_starts[replica].append(now_s)
 
     def note_settled(self, replica):
-        """Note that a request that was about to be sent was sent, or won't be."""
+        """Uncount a request that was about to be sent, after it was sent or dropped."""
         self._own_placed[replica] -= 1
         if self._own_placed[replica] <= 0:
             del self._own_placed[replica]
 
     def own_starts(self, replica, window_s, *, now_s):
-        """Return how many requests this node sent to a replica lately, or is about to.
+        """Return the number of requests recently sent to a replica or about to be.
 
-        A node that stalls places for a second, and sends for the next one. Counted when
-        they are sent only, all that it places meanwhile would pass as the first.
+        A stalled node may place requests for one second and send them all in the next.
+        If they were counted only when sent, each request placed during the stall would
+        pass the limit as if it were the first.
         """
         starts = self._own_starts[replica]
         while starts and now_s - starts[0] > window_s:
@@ -216,7 +217,7 @@
         return len(starts) + self._own_placed[replica]
 
     def own_recent(self, replica, *, now_s):
-        """Return how many requests of this node's others may not know of yet."""
+        """Return the number of this node's requests that others may not know of yet."""
         placed = self._own_placed.get(replica, 0)
         starts = self._own_starts.get(replica)
         if not starts:
@@ -224,11 +225,11 @@
         begins_s = now_s - NEWS_S
         return placed + sum(1 for _ in takewhile(begins_s.__lt__, reversed(starts)))
 
-    def forget_gone(self, *, now_s):
-        """Drop what is known of replicas that are gone."""
+    def drop_gone_replicas(self, *, now_s):
+        """Drop the state of replicas that are gone."""
         present = self.replicas.replicas
-        for replica in set(self._idle) - set(present):
-            del self._idle[replica]
+        for replica in set(self._idle_candidates) - set(present):
+            del self._idle_candidates[replica]
         self.board.forget(present, now_s=now_s)
         self.trust.forget(present, now_s=now_s)
         for replica in [name for name in self._own_starts if name not in present]:
@@ -236,15 +237,15 @@
                 del self._own_starts[replica]
 
     def living_nodes(self, *, now_s):
-        """Return the names of the nodes that are alive, this one among them."""
+        """Return the names of all live nodes, including this one."""
         return {self.node, *(peer.node for peer in self.peers.alive(now_s=now_s))}
 
     def is_ready(self, *, now_s):
-        """Tell whether this node should get callers.
+        """Tell whether this node should receive clients' requests.
 
-        It knows a configuration and replicas, and it heard of both lately: from the
-        store or from a peer. A node that hears neither can't know what was taken
-        away since.
+        It must have a configuration and replicas, and must recently have heard from the
+        store or a peer. A node that hears from neither can't know which keys, replicas
+        or failure domains were removed since.
         """
         if self.is_leaving or self.table is None or not self.replicas.replicas:
             return False
@@ -257,18 +258,19 @@
         return now_s - heard_s < self.settings.out_of_touch_s
 
     def candidates(self, service, *, now_s, without=frozenset(), homes=()):
-        """Return the replicas of a service that may take work, with their load.
+        """Return the replicas of a service that accept work, with their load.
 
         Parameters
         ----------
         service : Service
-            Which.
+            Service of the replicas.
         now_s : float
-            The present time.
+            Current time.
         without : set of str
             Replicas that this request was already sent to.
         homes : sequence of sequences of str
-            Regions; a replica has to stand in one of each, empty ones apart.
+            Lists of regions; a replica must be in a region of each list that isn't
+            empty.
         """
         usable = list(
             self.replicas.usable(service.name, now_s=now_s, closed=self.closed)
@@ -298,23 +300,23 @@
         ]
 
     def find_region(self, failure_domain):
-        """Return the region of a failure domain; empty where it isn't known."""
+        """Return the region of a failure domain, an empty string if it isn't known."""
         return dict(self.settings.domain_regions).get(failure_domain, "")
 
     def _rank(self, ids):
-        """Return each replica's place in the order that all nodes agree on."""
+        """Return each replica's rank in an order on which all nodes agree."""
         if self._ranks[0] != ids:
             self._ranks = ids, rank_replicas(ids)
         return self._ranks[1]
 
     def _make_candidate(self, replica, rank, *, now_s):
-        """Return a replica with its load; most of a large fleet's have none."""
+        """Return a replica with its load; in a large fleet most replicas have none."""
         entry = replica.entry
         column = self.board.column(entry.id)
         is_recovering = self.trust.is_recovering(entry.id, now_s=now_s)
         is_cold = replica.is_cold(now_s=now_s)
         if column.is_idle(now_s=now_s) and not (is_recovering or is_cold):
-            return self._make_idle(entry, rank)
+            return self._make_idle_candidate(entry, rank)
         return Candidate(
             id=entry.id,
             address=entry.address,
@@ -334,9 +336,9 @@
             is_cold=is_cold,
         )
 
-    def _make_idle(self, entry, rank):
-        """Return a replica without work, kept until its entry or rank changes."""
-        known = self._idle.get(entry.id)
+    def _make_idle_candidate(self, entry, rank):
+        """Return an idle replica, cached until its entry or rank changes."""
+        known = self._idle_candidates.get(entry.id)
         if known is not None and known[0] is entry and known[1].rank == rank:
             return known[1]
         candidate = Candidate(
@@ -346,5 +348,5 @@
             slots=entry.slots,
             is_near=entry.failure_domain == self.settings.failure_domain,
         )
-        self._idle[entry.id] = entry, candidate
+        self._idle_candidates[entry.id] = entry, candidate
         return candidate
--- a/lycheetide/relay/_take.py
+++ b/lycheetide/relay/_take.py
@@ -1,36 +1,41 @@
-"""Take in what the store or a peer tells of operators' records and of replicas."""
+"""Apply records read from the store or received from a peer to this node's state."""
 
 import logging
 
 import msgspec
 
-from lycheetide.relay._sharing import decode_changes, is_hub, is_reader, make_changes
+from lycheetide.relay._sharing import (
+    decode_change_message,
+    is_hub,
+    is_reader,
+    make_change_messages,
+)
 from lycheetide.routes import RouteTable
 
-STARTING_S = 2.0
-"""How long after its start a node may take itself for the only one."""
-SETTLED_S = 0.5
-"""Where no new peer came for so long it knows them."""
-REMOVED_KEPT = 30_000
-"""Records kept of one topic before those of removed keys are dropped; more than twice
-the replicas of the largest fleet that we design for."""
+STARTUP_S = 2.0
+"""How long after its start a node may still take itself for the only one."""
+PEERS_SETTLED_S = 0.5
+"""A node counts its peers as known if no new one was heard for this long."""
+MAX_RECORDS_KEPT = 30_000
+"""Records kept per topic before those of removed keys are dropped; more than twice the
+number of replicas of the largest fleet that the design covers."""
 
 
-def take(relay, name, batch, *, now_s, read_s=None):
-    """Take in what a read brought.
+def apply_batch(relay, name, batch, *, now_s, read_s=None):
+    """Apply the records of one read.
 
     Parameters
     ----------
     relay : RelayState
-        This node.
+        State of this node.
     name : str
-        "operator" or "registry".
+        Topic, "operator" or "registry".
     batch : Batch
-        What was read.
+        Records that were read.
     now_s : float
-        The present time.
+        Current time.
     read_s : float or None
-        When the store said so; None for now.
+        Time at which the store returned them; None for now.
     """
     source = getattr(relay, name)
     is_first = source.offset < 0
@@ -44,19 +49,19 @@
     for record in newer:
         source.records[record.key] = record
     if name == "operator":
-        take_operator(relay, newer, batch)
+        apply_operator_records(relay, newer, batch)
     else:
         listed = batch.records if batch.is_listing else newer
-        taken = take_registry(relay, listed, batch, now_s=now_s)
-        log_changes(relay, taken, is_first=is_first, is_read=read_s is None)
-        forget_removed(source)
-        if taken and read_s is None and not is_first:
-            tell_changes(relay, taken, now_s=now_s)
+        applied = apply_registry_records(relay, listed, batch, now_s=now_s)
+        log_replica_changes(relay, applied, is_first=is_first, is_read=read_s is None)
+        drop_removed_records(source)
+        if applied and read_s is None and not is_first:
+            broadcast_changes(relay, applied, now_s=now_s)
     source.offset = max(source.offset, batch.end)
 
 
-def take_operator(relay, records, batch):
-    """Put a newer configuration in force, and take domains out or back in."""
+def apply_operator_records(relay, records, batch):
+    """Activate a newer configuration, and close or reopen failure domains."""
     closed = set(relay.closed)
     if batch.is_listing and batch.end >= relay.operator.offset:
         present = {record.key for record in batch.records}
@@ -67,7 +72,7 @@
         }
         closed = set()
         records = list(relay.operator.records.values())
-    for record, routing, domain in decode_operator(relay, records):
+    for record, routing, domain in decode_readable_records(relay, records):
         if domain is not None:
             (closed.discard if record.value is None else closed.add)(domain)
         elif relay.table is None or routing.version > relay.table.routing.version:
@@ -80,11 +85,11 @@
     if closed != relay.closed:
         relay.closed = frozenset(closed)
         relay.log.info("Failure domains are out.", extra={"domains": sorted(closed)})
-    relay.tell_news()
+    relay.trigger_heartbeat()
 
 
-def decode_operator(relay, records):
-    """Yield what operators' records say; a broken one is counted and left out."""
+def decode_readable_records(relay, records):
+    """Yield decoded operator records; an unreadable one is counted and skipped."""
     for record in sorted(records, key=lambda one: one.offset):
         try:
             yield from relay.adapter.decode_operator_records([record])
@@ -96,8 +101,8 @@
             )
 
 
-def take_registry(relay, records, batch, *, now_s):
-    """Take replicas in; return the changes that mattered."""
+def apply_registry_records(relay, records, batch, *, now_s):
+    """Update the replicas, and return the changes that had an effect."""
     services = relay.table.services if relay.table else ()
     skipped: list[str] = []
     changes = list(
@@ -110,20 +115,20 @@
         relay.log.info("An entry of the registry is skipped.", extra={"entry": line})
     returned_s = relay.registry.returned_s
     if batch.is_listing:
-        taken = relay.replicas.list_all(
+        applied = relay.replicas.list_all(
             changes, batch.end, now_s=now_s, returned_s=returned_s
         )
     else:
-        taken = relay.replicas.apply(changes, now_s=now_s, returned_s=returned_s)
+        applied = relay.replicas.apply(changes, now_s=now_s, returned_s=returned_s)
         relay.replicas.end = max(relay.replicas.end, batch.end)
-    return taken
+    return applied
 
 
-def log_changes(relay, changes, *, is_first, is_read):
-    """Log what is new of replicas.
+def log_replica_changes(relay, changes, *, is_first, is_read):
+    """Log changes of replicas.
 
-    A line for each replica at each node would grow with the square of a fleet, so those
-    that only heard of a change log it at the level for debugging.
+    One line per replica at each node would grow quadratically with the fleet, so nodes
+    that received a change from a peer log it at debug level.
     """
     if is_first:
         relay.log.info("The replicas are known.", extra={"count": len(changes)})
@@ -141,9 +146,9 @@
         )  # fmt: skip
 
 
-def forget_removed(source):
-    """Drop the records of removed keys once they are many."""
-    if len(source.records) > REMOVED_KEPT:
+def drop_removed_records(source):
+    """Drop the records of removed keys once there are too many records."""
+    if len(source.records) > MAX_RECORDS_KEPT:
         source.records = {
             key: record
             for key, record in source.records.items()
@@ -151,42 +156,43 @@
         }
 
 
-def tell_changes(relay, changes, *, now_s):
-    """Tell others of changes that this node has read.
+def broadcast_changes(relay, changes, *, now_s):
+    """Broadcast changes that this node has read from the registry.
 
-    The node that reads for all tells all. Another hub tells its failure domain, since
-    every domain has one, and all others tell nobody. Nor does a node that has just
-    started and still comes to know its peers, or takes itself for the only one: each of
-    195 nodes that start would tell all others of each replica, and fill every link.
+    The registry reader broadcasts to all nodes. Another hub sends them to its failure
+    domain, since every domain has a hub, and all other nodes send nothing. A node that
+    has just started, and is still discovering peers or takes itself for the only one,
+    sends nothing either: otherwise each of 195 starting nodes would send every replica
+    to all others and saturate every link.
     """
     if is_starting(relay, now_s=now_s):
         return
     if is_reader(relay, now_s=now_s):
-        tell = relay.tell_change
+        broadcast = relay.broadcast_change
     elif is_hub(relay, now_s=now_s):
-        tell = relay.tell_near
+        broadcast = relay.broadcast_to_domain
     else:
         return
-    for message in make_changes(relay, changes, now_s=now_s):
-        tell(message)
+    for message in make_change_messages(relay, changes, now_s=now_s):
+        broadcast(message)
 
 
 def is_starting(relay, *, now_s):
-    """Tell whether this node has just started and still comes to know its peers."""
-    is_new = now_s - relay.started_s < STARTING_S
-    return is_new and now_s - relay.peers.grown_s < SETTLED_S
+    """Tell whether this node has just started and is still discovering its peers."""
+    is_new = now_s - relay.started_s < STARTUP_S
+    return is_new and now_s - relay.peers.grown_s < PEERS_SETTLED_S
 
 
-def note_return(relay, age_s, *, now_s):
-    """Take over when a peer saw the registry return from an outage for all."""
+def record_outage_end(relay, age_s, *, now_s):
+    """Record that a peer saw the registry recover from an outage for all nodes."""
     if age_s >= 0:
         known_s = relay.registry.returned_s
         told_s = now_s - age_s
         relay.registry.returned_s = told_s if known_s is None else max(known_s, told_s)
 
 
-def take_changes(relay, message, *, now_s):
-    """Take in what a peer has read of replicas."""
-    note_return(relay, message.returned_age_s, now_s=now_s)
-    batch = decode_changes(message)
-    take(relay, "registry", batch, now_s=now_s, read_s=relay.registry.read_s)
+def apply_peer_changes(relay, message, *, now_s):
+    """Apply changes of replicas that a peer has read."""
+    record_outage_end(relay, message.returned_age_s, now_s=now_s)
+    batch = decode_change_message(message)
+    apply_batch(relay, "registry", batch, now_s=now_s, read_s=relay.registry.read_s)
--- a/lycheetide/relay/_used.py
+++ b/lycheetide/relay/_used.py
@@ -1,22 +1,23 @@
-"""Count what a node uses that is paid for, by reason, and log it now and then.
+"""Count the resources that a node uses and is charged for, and log them periodically.
 
-One line in ten seconds, whatever the load, so that logs of a large fleet stay small.
+The node writes one line every ten seconds, whatever the load, so that the logs of a
+large fleet stay small.
 """
 
 import resource
 from collections import Counter
 
 LOG_S = 10.0
-"""Pause between two lines."""
+"""Interval between two lines."""
 
 
 class Used:
-    """What this node has used since the last line.
+    """Resources that this node has used since the last line.
 
     Parameters
     ----------
     now_s : float
-        The present time.
+        Current time.
     """
 
     def __init__(self, *, now_s):
@@ -25,16 +26,16 @@
         self._connections = 0
 
     def add(self, name, amount=1):
-        """Add to one reason."""
+        """Add an amount to one counter."""
         self.counts[name] += amount
 
     def note_connections(self, opened):
-        """Take in how many connections were opened since the start."""
+        """Update the number of connections opened since the last line."""
         self.add("connections", opened - self._connections)
         self._connections = opened
 
     def log(self, relay, *, now_s, is_last=False):
-        """Log what was used and begin anew, if it is time for that."""
+        """Log the counters and reset them if the interval is over."""
         if now_s - self._logged_s < LOG_S and not is_last:
             return
         self.note_connections(relay.pool.opened)
@@ -45,13 +46,13 @@
             extra={
                 "used": {name: self.counts[name] for name in sorted(self.counts)},
                 "span_ms": round((now_s - self._logged_s) * 1e3),
-                "peak_mb": round(find_peak_mb(), 1),
+                "peak_mb": round(read_peak_memory_mb(), 1),
             },
         )
         self.counts.clear()
         self._logged_s = now_s
 
 
-def find_peak_mb():
-    """Return the most memory that this process had at once, in MB."""
+def read_peak_memory_mb():
+    """Return the peak memory use of this process, in MB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -1,4 +1,4 @@
-"""All nodes together keep a replica's limit when one of them is late."""
+"""All nodes together respect a replica's cold limit even if one of them is late."""
 
 import time
 
@@ -13,8 +13,8 @@
 
 pytestmark = pytest.mark.anyio
 
-USABLE = 12
-"""Requests a second that nodes send to a replica that bears 20."""
+USABLE_PER_S = 12
+"""Requests a second that nodes send to a replica whose limit is 20."""
 
 
 @pytest.fixture
@@ -23,7 +23,7 @@
 
 
 async def wait_for_peers(fleet):
-    """Wait until all nodes know one another."""
+    """Wait until all nodes know each other."""
     others = len(fleet.relays) - 1
     await fleet.wait_for(
         lambda: all(
@@ -33,7 +33,7 @@
 
 
 def make_lookup(relay):
-    """Return a lookup as a node takes it from a caller."""
+    """Return a plain request as a node receives it from a client."""
     request = relay.adapter.decode_request(
         method="GET",
         target=b"/look/a",
@@ -47,28 +47,29 @@
     return make_call(relay, request, b"")
 
 
-async def test_a_node_whose_loop_stalled_hears_the_others_before_it_chooses():
-    """A node stalls while another one sends a replica all that it bears.
+async def test_a_stalled_node_reads_pending_messages_before_it_places():
+    """Guards against a stalled node that uses a replica's limit a second time.
 
-    It chooses places before its loop reads what it was told, and takes the whole limit
-    once more.
+    The node stalls while another one uses up the whole limit. It then chose replicas
+    before its event loop had read the messages about that.
     """
     async with Relayed(relays=2) as fleet:
         await wait_for_peers(fleet)
         first, stalled = fleet.relays
-        for number in range(USABLE):
+        for number in range(USABLE_PER_S):
             parts = (Part("r-0", 0.0),)
             first.tell_work(Started(first.node, f"x{number}", parts, lasts_ms=500))
-        # Nothing was awaited since, so nobody has read a message yet.
+        # Nothing was awaited since, so no node has read a message yet.
         open_now, usable = list_candidates(stalled, make_lookup(stalled))
     assert {one.id for one in usable} == {"r-0", "r-1"}
     assert {one.id for one in open_now} == {"r-1"}
 
 
 async def test_others_count_a_request_that_goes_out_late_in_its_own_second():
-    """A connection takes so long that the others no longer count its request.
+    """Guards against a request that others no longer count when it is sent.
 
-    They were told of it when it was placed; two seconds' requests then arrive in one.
+    Connecting takes so long that the message about the placement has left the window of
+    one second. The requests of two seconds would then arrive in one.
     """
     async with Relayed(relays=2, replicas=1) as fleet:
         await wait_for_peers(fleet)
@@ -96,9 +97,10 @@
 
 
 async def test_a_request_that_is_sent_again_is_counted_again():
-    """A kept connection was closed, and its request goes out once more.
+    """Guards against a retried request that is counted only once.
 
-    Both sendings may reach the replica; others that know of one take too much.
+    A kept connection was closed, and the request is sent again. The replica may receive
+    both, so nodes that know of only one would exceed the limit.
     """
     async with Relayed(relays=2, replicas=1) as fleet:
         await wait_for_peers(fleet)
--- a/lycheetide/relay/tests/test_first_news.py
+++ b/lycheetide/relay/tests/test_first_news.py
@@ -1,4 +1,4 @@
-"""A node that starts in an outage of the store serves as soon as a peer knows."""
+"""A node that starts in a store outage serves as soon as a peer has the state."""
 
 import time
 from types import SimpleNamespace
@@ -11,8 +11,8 @@
 
 pytestmark = pytest.mark.anyio
 
-HEARD_S = 0.6
-"""A greeting comes within 0.3 s, and what the peer knows within some milliseconds."""
+MAX_READY_S = 0.6
+"""A heartbeat arrives within 0.3 s, and the peer's state within some milliseconds."""
 
 
 @pytest.fixture
@@ -25,10 +25,11 @@
 async def test_a_node_that_waits_for_the_store_hears_of_a_peer_that_knows(
     down, alone_s
 ):
-    """All nodes were killed in an outage, and the store answers one of them first.
+    """Guards against nodes that wait out a retry pause while a peer has the state.
 
-    The others wait out their pauses, up to three seconds, and refuse all callers,
-    though the one that knows greets them.
+    All nodes were killed in an outage, and the store answers one of them first. The
+    others waited up to three seconds before they retried, and refused all clients,
+    though that node was sending them heartbeats.
     """
     async with Relayed() as fleet:
         fleet.store.down = down
@@ -39,15 +40,15 @@
         assert late.table is None
         address = fleet.relays[0].settings.peer_address
         late.peers.learn(address, now_s=time.monotonic())
-        late.tell_news()
+        late.trigger_heartbeat()
         took_s = await fleet.wait_for(
             lambda: late.is_ready(now_s=time.monotonic()), timeout_s=4.0
         )
-    assert took_s < HEARD_S
+    assert took_s < MAX_READY_S
 
 
 def make_slow_adapter(*, topic, after_s):
-    """Return an adapter whose store takes a while to give one topic."""
+    """Return an adapter whose store returns one topic with a delay."""
 
     class SlowClient(platform.StoreClient):
         async def read(self, *args, **kwargs):
@@ -60,9 +61,10 @@
 
 @pytest.mark.parametrize("topic", [platform.OPERATOR, platform.REGISTRY])
 async def test_a_caller_that_comes_before_the_first_news_waits_for_it(topic):
-    """All nodes start anew, and a large configuration takes a while over small links.
+    """Guards against clients that are refused while the first state is on its way.
 
-    Callers were told to come back later than the node was ready.
+    All nodes restart, and a large configuration takes a while over small links. Clients
+    were told to retry at a time later than the node was ready.
     """
     async with Relayed(relays=0) as fleet:
         adapter = make_slow_adapter(topic=topic, after_s=0.3)
@@ -74,7 +76,7 @@
 
 
 async def test_a_caller_is_refused_at_once_where_the_news_do_not_come():
-    """The store refuses a node that has just started, and it has no peer."""
+    """The store refuses a node that has just started, and the node has no peer."""
     async with Relayed(relays=0) as fleet:
         fleet.store.down = "busy"
         relay = await fleet.start_relay(wait=False)
--- a/lycheetide/relay/tests/test_knowledge.py
+++ b/lycheetide/relay/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What nodes know of replicas and configurations while the store misbehaves."""
+"""State of replicas and configurations at the nodes while the store is faulty."""
 
 import time
 from dataclasses import replace
@@ -13,8 +13,8 @@
 
 pytestmark = pytest.mark.anyio
 
-NOTICE_S = 2.0
-"""Operators' and replicas' news are in force within this time."""
+MAX_PROPAGATION_S = 2.0
+"""Changes by operators and replicas must be in force within this time."""
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
     return "asyncio"
 
 
-def knows(relay, version):
+def has_version(relay, version):
     return relay.table is not None and relay.table.routing.version >= version
 
 
@@ -31,18 +31,18 @@
         config = make_config(version=7, tenants=[{"name": CUSTOMER, "apiKeys": []}])
         fleet.store.put("keyed.op", "config", config)
         took_s = await fleet.wait_for(
-            lambda: all(knows(relay, 7) for relay in fleet.relays)
+            lambda: all(has_version(relay, 7) for relay in fleet.relays)
         )
         answers = [await fleet.look(relay=index) for index in range(2)]
-    assert took_s < NOTICE_S
+    assert took_s < MAX_PROPAGATION_S
     assert [answer.status_code for answer in answers] == [401, 401]
 
 
 async def test_an_older_configuration_never_comes_back():
-    """The store's history is dropped and an old record is written again."""
+    """The store's history is compacted, and an old record is written again."""
     async with Relayed() as fleet:
         fleet.store.put("keyed.op", "config", make_config(version=7))
-        await fleet.wait_for(lambda: knows(fleet.relays[0], 7))
+        await fleet.wait_for(lambda: has_version(fleet.relays[0], 7))
         fleet.store.compact("keyed.op")
         fleet.store.put("keyed.op", "config", make_config(version=3, routes=[]))
         await anyio.sleep(0.3)
@@ -52,20 +52,20 @@
 
 @pytest.mark.parametrize("broken", [b"", b"{", b'{"version": 9}', b"\xff\xfe"])
 async def test_a_configuration_that_cannot_be_read_changes_nothing(broken):
-    """A record is torn; a node that ended over it would cut its callers."""
+    """A record is truncated; a node that terminated would cut off its clients."""
     async with Relayed() as fleet:
         fleet.store.put("keyed.op", "config", broken)
         await anyio.sleep(0.2)
         assert (await fleet.look()).status_code == 200
         fleet.store.put("keyed.op", "config", make_config(version=9))
-        await fleet.wait_for(lambda: knows(fleet.relays[0], 9))
+        await fleet.wait_for(lambda: has_version(fleet.relays[0], 9))
 
 
 @pytest.mark.parametrize("down", ["busy", "silent"])
 async def test_a_node_that_the_store_refuses_learns_from_its_peers(down):
-    """The store serves one node and refuses the other, while a key is taken away.
+    """The store serves one node and refuses the other while an API key is revoked.
 
-    Otherwise a thief could use the key at the node that was cut off.
+    Otherwise the revoked key could still be used at the node that is cut off.
     """
     async with Relayed(relays=2) as fleet:
         await fleet.wait_for(
@@ -90,17 +90,18 @@
         store.server.handle = answer
         config = make_config(version=7, tenants=[{"name": CUSTOMER, "apiKeys": []}])
         store.put("keyed.op", "config", config)
-        took_s = await fleet.wait_for(lambda: knows(cut, 7))
+        took_s = await fleet.wait_for(lambda: has_version(cut, 7))
         refused = await fleet.look(relay=1)
-    assert took_s < NOTICE_S + 1.0
+    assert took_s < MAX_PROPAGATION_S + 1.0
     assert refused.status_code == 401
 
 
 async def test_a_read_that_the_store_forgot_holds_back_no_configuration():
-    """The read that waits for a configuration goes out while the store says nothing.
+    """Guards against a lost read that delays the next configuration.
 
-    The store never answers it. It works again soon, and other reads show that; a key
-    that is taken away then stays valid for 20 s.
+    The waiting read for a configuration is sent while the store is silent, and is never
+    answered. The store soon works again, as other reads show, but a revoked key stayed
+    valid for 20 s.
     """
     async with Relayed() as fleet:
         (relay,) = fleet.relays
@@ -115,14 +116,16 @@
         )
         store.down = ""
         store.put("keyed.op", "config", make_config(version=9))
-        await fleet.wait_for(lambda: knows(relay, 9), timeout_s=NOTICE_S + 1.0)
+        await fleet.wait_for(
+            lambda: has_version(relay, 9), timeout_s=MAX_PROPAGATION_S + 1.0
+        )
 
 
 async def test_a_read_after_a_failure_waits_for_nothing():
-    """The store fails one read for operators' records and says nothing to the next.
+    """Guards against a waiting read that the store has lost after an earlier failure.
 
-    No read of the registry showed that it was back, and a key that was taken away
-    stayed valid for 20 s.
+    The store fails one read of operator records and ignores the next. No read of the
+    registry showed that the store was back, and a revoked key stayed valid for 20 s.
     """
     async with Relayed() as fleet:
         (relay,) = fleet.relays
@@ -139,7 +142,9 @@
         )
         store.down = ""
         store.put("keyed.op", "config", make_config(version=9))
-        await fleet.wait_for(lambda: knows(relay, 9), timeout_s=NOTICE_S + 1.0)
+        await fleet.wait_for(
+            lambda: has_version(relay, 9), timeout_s=MAX_PROPAGATION_S + 1.0
+        )
 
 
 async def test_a_draining_replica_gets_no_new_work():
@@ -173,7 +178,7 @@
 
 
 async def test_a_domain_taken_back_while_the_history_was_dropped_is_open_again():
-    """The record that takes the domain back is gone before a node reads it."""
+    """The record that reopens the domain is compacted before a node reads it."""
     async with Relayed() as fleet:
         relay = fleet.relays[0]
         fleet.store.put("keyed.op", "evacuate/cork-b", {})
@@ -190,7 +195,7 @@
      {"state": "stolen"}, {"slots": "many"}, {"service": "nowhere"}],
 )  # fmt: skip
 async def test_an_entry_of_another_writer_names_no_replica(value):
-    """Entries are torn or forged; the others hold, and nothing ends."""
+    """Some entries are truncated or forged; the others stay valid, and no task ends."""
     async with Relayed() as fleet:
         if isinstance(value, dict):
             value = fleet.replicas[0].entry(address="127.0.0.1:9") | value
@@ -204,9 +209,9 @@
 
 
 async def test_entries_that_lapsed_in_an_outage_are_kept_until_they_are_back():
-    """The store is out, and the entries of living replicas lapse meanwhile.
+    """Guards against entries of live replicas that expire during a store outage.
 
-    A node that believed it would refuse all callers for seconds.
+    A node that took the replicas for gone would refuse all clients for seconds.
     """
     async with Relayed() as fleet:
         relay = fleet.relays[0]
@@ -228,28 +233,30 @@
 
 
 async def test_a_replica_that_left_while_only_this_node_was_cut_off_gets_no_work():
-    """The store refuses one node for a while; a replica leaves without draining.
+    """Guards against a removal that is mistaken for an entry that expired in an outage.
 
-    Taken for one whose entry has lapsed, it would get new work for two more seconds,
-    after it has ended.
+    The store refuses one node for a while, and a replica leaves without draining. That
+    node would send it new work for two more seconds after it has ended.
     """
 
-    class CutClient(platform.StoreClient):
-        is_cut = False
+    class UnreachableStoreClient(platform.StoreClient):
+        is_unreachable = False
 
         async def read(self, *args, **kwargs):
-            if CutClient.is_cut:
+            if UnreachableStoreClient.is_unreachable:
                 raise StoreUnavailable("refused")
             return await super().read(*args, **kwargs)
 
-    adapter = SimpleNamespace(**vars(platform) | {"StoreClient": CutClient})
+    adapter = SimpleNamespace(
+        **vars(platform) | {"StoreClient": UnreachableStoreClient}
+    )
     async with Relayed() as fleet:
         (other,) = fleet.relays
         cut = await fleet.start_relay(adapter=adapter)
         await fleet.wait_for(lambda: cut.peers.alive(now_s=0.0))
-        CutClient.is_cut = True
+        UnreachableStoreClient.is_unreachable = True
         await anyio.sleep(2.0)
-        CutClient.is_cut = False
+        UnreachableStoreClient.is_unreachable = False
         fleet.store.remove("keyed.servers", "r-0")
         await anyio.sleep(0.9)
         service = cut.table.services["models"]
@@ -273,7 +280,7 @@
 
 
 async def test_a_node_that_starts_in_an_outage_learns_from_its_peers():
-    """All that it knows comes from a peer; until then it takes no callers."""
+    """All state comes from a peer; until then the node serves no clients."""
     async with Relayed() as fleet:
         fleet.store.down = "busy"
         relay = await fleet.start_relay(wait=False)
@@ -284,9 +291,9 @@
 
 
 async def test_a_node_that_starts_in_an_outage_lists_the_replicas_soon_after_it():
-    """All nodes were killed in an outage, so there is no peer that knows them.
+    """All nodes were killed in an outage, so no peer knows the replicas.
 
-    The node has a configuration, and refuses all callers until it knows the replicas.
+    The node has a configuration, and refuses all clients until it knows the replicas.
     """
     async with Relayed(relays=0) as fleet:
         fleet.store.down = "busy"
@@ -314,10 +321,11 @@
 
 
 async def test_a_node_of_another_fleet_is_no_peer():
-    """An address was given to a node of another fleet, and old peers still greet it.
+    """Guards against a node of another fleet that is taken for a peer.
 
-    Taken for a peer, it would pass its own configuration and replicas on, and callers
-    would get answers of another fleet.
+    An address was reassigned to a node of another fleet, and old peers still send it
+    heartbeats. It would pass on its own configuration and replicas, and clients would
+    get responses from the other fleet.
     """
     async with Relayed() as fleet, Relayed(config=make_config(version=99)) as other:
         ours, strange = fleet.relays[0], other.relays[0]
@@ -330,8 +338,8 @@
         assert ours.table.routing.version == 1
 
 
-def note_sending(relay, sent):
-    """Keep when a relay sends to which replica."""
+def record_sent_requests(relay, sent):
+    """Record when a relay sends a request to which replica."""
     real = relay.note_start
 
     def note_start(replica, *, now_s):
@@ -342,15 +350,16 @@
 
 
 async def test_a_cold_replica_gets_no_more_than_its_share_from_all_nodes():
-    """A replica has just started; the other is full of work.
+    """Guards against a replica that fails under the cold limits of several nodes.
 
-    Three nodes that each send it all it bears make it fall over.
+    A replica has just started, and the other one is fully loaded. If each of three
+    nodes sent as much as the replica can take, it would fail under the load.
     """
     config = make_config()
     async with Relayed(relays=3, replicas=2, config=config) as fleet:
         sent: list[tuple[str, float]] = []
         for relay in fleet.relays:
-            note_sending(relay, sent)
+            record_sent_requests(relay, sent)
         await fleet.wait_for(
             lambda: all(
                 len(relay.peers.alive(now_s=0.0)) == 2 for relay in fleet.relays
@@ -361,8 +370,8 @@
                 for relay in range(3):
                     group.start_soon(lambda index: fleet.look(relay=index), relay)
                 await anyio.sleep(1 / 90)
-    # The loop of the test may stall, and what was sent over two seconds then arrives
-    # in one; so the times of sending are counted.
+    # The test's event loop may stall, and requests sent over two seconds then arrive in
+    # one. So the times of sending are counted.
     starts_s = sorted(at_s for replica, at_s in sent if replica == "r-0")
     most = max(
         sum(1 for at_s in starts_s if begun_s <= at_s < begun_s + 1.0)
@@ -372,7 +381,7 @@
 
 
 async def test_a_customer_with_a_home_is_served_there_only():
-    """A customer's prompts may not leave its region, even if only others are free."""
+    """A customer's prompts must not leave its region, even if only others are free."""
     config = make_config()
     config["tenants"][0]["allowedRegions"] = ["mu"]
     async with Relayed(config=config) as fleet:
@@ -390,7 +399,7 @@
 
 
 async def test_memory_of_a_huge_prompt_is_held_while_it_runs_and_then_freed():
-    """The prompt is larger than one replica's memory; several hold it together."""
+    """The prompt needs more memory than one replica has; several hold it together."""
     async with Relayed(replicas=4) as fleet:
         for replica in fleet.replicas:
             replica.kv_tokens = 100_000
@@ -414,9 +423,9 @@
 
 
 async def test_a_huge_prompt_gets_all_its_memory_or_none():
-    """One of the replicas has no memory left, so the prompt can't be placed.
+    """Guards against partial reservations that block other huge prompts forever.
 
-    Halves that are kept would keep other huge prompts from their memory for ever.
+    One of the replicas has no free memory, so the prompt can't be placed.
     """
     async with Relayed(replicas=3) as fleet:
         for replica in fleet.replicas:
@@ -434,7 +443,7 @@
 
 @pytest.mark.parametrize("tokens", ["50000,300", "210000,300"])
 async def test_a_long_prompt_that_no_replica_takes_is_told_to_come_back(tokens):
-    """All replicas leave; a caller that is told 500 does not know whether it ran."""
+    """All replicas leave; a client that gets 500 can't tell whether its request ran."""
     async with Relayed() as fleet:
         for replica in fleet.replicas:
             entry = replica.entry(state="draining", seq=2)
@@ -451,7 +460,7 @@
 
 
 async def test_a_planned_stop_cuts_no_request():
-    """A node is told to stop while streams run and callers go on asking."""
+    """A node is told to stop while streams run and clients go on sending requests."""
     async with Relayed(relays=2, stop_notice_s=0.5) as fleet:
         for replica in fleet.replicas:
             replica.events = 20
@@ -478,9 +487,10 @@
 
 
 async def test_a_leaving_node_takes_nothing_that_it_would_have_to_cut():
-    """A caller keeps an idle connection open while its node is told to stop.
+    """Guards against requests that a stopping node accepts too late to finish.
 
-    A request sent there just before the end would be read, passed on and cut.
+    A client keeps an idle connection open while its node is told to stop. A request
+    sent on it just before the end would be read, forwarded and cut off.
     """
     async with Relayed(stop_notice_s=0.3) as fleet:
         for replica in fleet.replicas:
--- a/lycheetide/relay/tests/test_large.py
+++ b/lycheetide/relay/tests/test_large.py
@@ -1,4 +1,4 @@
-"""One node's part in a fleet of hundreds, without any network."""
+"""One node's work in a fleet of hundreds of nodes, without a network."""
 
 import time
 
@@ -10,8 +10,8 @@
 ROUNDS = 10
 
 
-def time_choice_s(relay, call):
-    """Return the shortest of some times that a choice takes."""
+def time_placement_s(relay, call):
+    """Return the shortest of several measured times of a placement, in seconds."""
     times = []
     for _ in range(ROUNDS):
         begun_s = time.perf_counter()
@@ -22,18 +22,19 @@
 
 
 @pytest.mark.parametrize("cold_per_s", [0.0, 17.0])
-def test_a_choice_in_a_large_fleet_costs_little(cold_per_s):
-    """Each choice sorted all nodes by hash for every replica, for their cold limits.
+def test_placement_in_a_large_fleet_is_fast(cold_per_s):
+    """Guards against a placement that sorts all nodes by hash for every replica.
 
-    At 195 nodes and 195 replicas that took 22 ms of processor, and 43 ms on half a
-    core, in which nodes placed by news that grew old meanwhile.
+    This was done for the cold limits. At 195 nodes and 195 replicas it took 22 ms of
+    processor time, and 43 ms on half a core, and nodes placed by state that had become
+    stale meanwhile.
     """
     relay = make_large_relay(195, 195)
-    assert time_choice_s(relay, make_call(5_000, cold_per_s=cold_per_s)) < 0.005
+    assert time_placement_s(relay, make_call(5_000, cold_per_s=cold_per_s)) < 0.005
 
 
-def test_a_replica_without_work_is_known_by_its_newest_entry():
-    """A replica moves to another address, and nodes keep what it was before."""
+def test_an_idle_replica_is_listed_by_its_newest_entry():
+    """A replica moves to another address while nodes have cached its old entry."""
     relay = make_large_relay(2, 3)
     call = make_call(5_000)
     before, _ = list_candidates(relay, call)
--- a/lycheetide/relay/tests/test_reload.py
+++ b/lycheetide/relay/tests/test_reload.py
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("text", ["", "nonsense", "[relay]\nidle_s = never\n"])
 async def test_a_broken_file_changes_nothing(tmp_path, text):
-    """An operator saves half a file; a node that ended over it would cut callers."""
+    """An operator saves an incomplete file; a node that ended would cut clients off."""
     path = tmp_path / "node.ini"
     path.write_text(text)
     async with Relayed() as fleet:
--- a/lycheetide/relay/tests/test_shares.py
+++ b/lycheetide/relay/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""A node's share of a cold replica's limit, by what it placed and what it sent."""
+"""A node's share of a cold replica's limit counts requests placed and requests sent."""
 
 from types import SimpleNamespace
 
@@ -21,8 +21,8 @@
     )
 
 
-def place_all_it_may(relay, *, now_s):
-    """Place as long as the node's share allows; return how many."""
+def place_until_refused(relay, *, now_s):
+    """Place requests until the node's share is used up; return their number."""
     find_allowance = share_cold_limits(relay.node, {relay.node, "o.1.1", "p.1.1"})
     placed = 0
     while is_open(relay, SERVICE, COLD, find_allowance=find_allowance, now_s=now_s):
@@ -32,23 +32,27 @@
 
 
 def test_a_stalled_node_sends_no_more_than_its_share_in_a_second():
-    """A node places for two seconds, stalls, and sends all of it in one.
+    """Guards against requests that are counted only when they are sent.
 
-    Counted when they were sent only, its requests passed as none until then.
+    A node places requests for two seconds, stalls, and sends all of them within one.
+    Until then none of them counted towards its share.
     """
     relay = make_relay()
-    placed = sum(place_all_it_may(relay, now_s=0.2 * step) for step in range(10))
+    placed = sum(place_until_refused(relay, now_s=0.2 * step) for step in range(10))
     for _ in range(placed):
         relay.note_settled("r")
         relay.note_start("r", now_s=2.0)
     assert placed == 4
-    assert place_all_it_may(relay, now_s=2.5) == 0
-    assert place_all_it_may(relay, now_s=3.1) == 4
+    assert place_until_refused(relay, now_s=2.5) == 0
+    assert place_until_refused(relay, now_s=3.1) == 4
 
 
-def test_a_request_that_was_not_sent_gives_its_place_back():
-    """A cold replica refuses connections, and the node's share of it is used up."""
+def test_a_request_that_was_not_sent_frees_its_share():
+    """Guards against requests that use up a share though they weren't sent.
+
+    A cold replica refuses connections, so none of the placed requests reaches it.
+    """
     relay = make_relay()
-    for _ in range(place_all_it_may(relay, now_s=0.0)):
+    for _ in range(place_until_refused(relay, now_s=0.0)):
         relay.note_settled("r")
-    assert place_all_it_may(relay, now_s=0.1) == 4
+    assert place_until_refused(relay, now_s=0.1) == 4
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""A few nodes read the registry for all; messages between nodes are lost."""
+"""A few nodes read the registry for all, and messages between nodes may be lost."""
 
 import time
 
@@ -18,8 +18,8 @@
     return "asyncio"
 
 
-async def start_fleet(fleet):
-    """Wait until all relays know one another and which one reads."""
+async def wait_for_fleet(fleet):
+    """Wait until all relays know each other and which one is the reader."""
     now_s = time.monotonic()
     others = len(fleet.relays) - 1
     await fleet.wait_for(
@@ -33,7 +33,7 @@
 
 async def test_one_node_reads_and_all_know():
     async with Relayed(relays=4) as fleet:
-        _, followers = await start_fleet(fleet)
+        _, followers = await wait_for_fleet(fleet)
         await anyio.sleep(0.7)
         counts = fleet.store.calls.copy()
         fleet.store.put(
@@ -53,19 +53,19 @@
 
 
 async def test_a_lost_message_is_made_up_for():
-    """The datagram that tells of a draining replica never arrives.
+    """The datagram that reports a draining replica is lost.
 
-    The node would send it new work until it ends, and callers' requests with it.
+    The node would send it new work until it ends, and those requests would end with it.
     """
     async with Relayed(relays=2) as fleet:
-        reader, (follower,) = await start_fleet(fleet)
-        tell = reader.tell_change
+        reader, (follower,) = await wait_for_fleet(fleet)
+        real_broadcast = reader.broadcast_change
 
-        def lose(message):
+        def drop_changes(message):
             if not isinstance(message, Changed):
-                tell(message)
+                real_broadcast(message)
 
-        reader.tell_change = lose
+        reader.broadcast_change = drop_changes
         fleet.store.put(
             "keyed.servers", "r-0", fleet.replicas[0].entry(state="draining", seq=2)
         )
@@ -79,9 +79,9 @@
 
 
 async def test_a_reader_that_falls_silent_is_replaced():
-    """The node that reads for all is gone; nobody else has read for a while."""
+    """The reader is gone, and no other node has read for a while."""
     async with Relayed(relays=3) as fleet:
-        reader, followers = await start_fleet(fleet)
+        reader, followers = await wait_for_fleet(fleet)
         fleet.stops[fleet.relays.index(reader)].set()
         await anyio.sleep(0.2)
         fleet.store.put(
@@ -96,13 +96,14 @@
 
 
 async def test_an_outage_of_the_store_brings_it_few_calls():
-    """The store refuses everybody for three seconds.
+    """Guards against frequent retries by all nodes while the store refuses them.
 
-    Each node asked it again two or three times a second for each of two topics, so a
-    fleet of ninety sent a store in trouble hundreds of calls a second.
+    In an outage of three seconds each node retried two or three times a second for each
+    of two topics. A fleet of ninety sent hundreds of calls a second to a store in
+    trouble.
     """
     async with Relayed(relays=5) as fleet:
-        await start_fleet(fleet)
+        await wait_for_fleet(fleet)
         fleet.store.down = "busy"
         fleet.store.wake()
         before = len(fleet.store.calls)
@@ -123,9 +124,9 @@
 
 
 async def test_a_node_that_starts_among_others_lists_little_at_the_store():
-    """A release replaces all nodes, and each lists all topics at the store anew."""
+    """A release replaces all nodes, and each of them listed all topics at the store."""
     async with Relayed(relays=2) as fleet:
-        reader, _ = await start_fleet(fleet)
+        reader, _ = await wait_for_fleet(fleet)
         before = len(fleet.store.calls)
         late = await fleet.start_relay()
         calls = fleet.store.calls[before:]
@@ -138,10 +139,10 @@
 async def test_configurations_in_quick_succession_are_read_together():
     """Operators change the configuration twelve times a second.
 
-    Each node reads every one of them, though only the last one counts.
+    Each node read every version, though only the last one counts.
     """
     async with Relayed(relays=2) as fleet:
-        await start_fleet(fleet)
+        await wait_for_fleet(fleet)
         before = len(fleet.store.calls)
         for version in range(2, 22):
             fleet.store.put("keyed.op", "config", make_config(version=version))
@@ -155,15 +156,15 @@
 
 
 def list_operator_calls(fleet, since):
-    """Return the calls for operators' records since there were so many calls."""
+    """Return the calls for operator records after the first ``since`` calls."""
     return [one for one in fleet.store.calls[since:] if "keyed.op" in one]
 
 
 async def test_a_configuration_is_read_at_few_nodes_and_in_force_at_all():
-    """Each node of a fleet read each configuration at the store."""
+    """Each node of a fleet used to read each configuration at the store."""
     async with Relayed(relays=7) as fleet:
-        await start_fleet(fleet)
-        await end_first_waits(fleet)
+        await wait_for_fleet(fleet)
+        await finish_initial_waits(fleet)
         before = len(fleet.store.calls)
         fleet.store.put("keyed.op", "config", make_config(version=2))
         took_s = await wait_for_version(fleet, fleet.relays, 2)
@@ -173,70 +174,72 @@
     assert len(calls) <= 4
 
 
-async def end_first_waits(fleet):
-    """Let the reads return that nodes began before they knew one another."""
+async def finish_initial_waits(fleet):
+    """Let the reads return that nodes began before they knew each other."""
     fleet.store.put("keyed.op", "evacuate/none", {})
-    await anyio.sleep(2 * _follow.GATHER_CHANGES_S)
+    await anyio.sleep(2 * _follow.CONFIG_DEBOUNCE_S)
 
 
 async def wait_for_version(fleet, relays, version):
-    """Wait until a configuration is in force at nodes; return how long it took."""
+    """Wait until a configuration is in force at all nodes; return how long it took."""
     return await fleet.wait_for(
         lambda: all(relay.table.routing.version == version for relay in relays)
     )
 
 
 async def test_a_large_configuration_is_read_from_the_store(monkeypatch):
-    """A hub gives 38 peers a configuration of 500 kB, over a link of 10 Mbit/s."""
+    """A hub would send 500 kB of configuration to 38 peers over a link of 10 Mbit/s."""
     monkeypatch.setattr(_peer_state, "LINK_MBPS", 0.01)
     async with Relayed(relays=5) as fleet:
-        await start_fleet(fleet)
-        await end_first_waits(fleet)
-        gave = sum_given(fleet)
+        await wait_for_fleet(fleet)
+        await finish_initial_waits(fleet)
+        transfers = count_peer_transfers(fleet)
         before = len(fleet.store.calls)
         fleet.store.put("keyed.op", "config", make_config(version=2))
         took_s = await wait_for_version(fleet, fleet.relays, 2)
         calls = list_operator_calls(fleet, before)
-        assert sum_given(fleet) == gave
+        assert count_peer_transfers(fleet) == transfers
     assert took_s < 1.0
     assert len(calls) >= 2
 
 
-def sum_given(fleet):
-    """Return how often nodes got operators' records from peers."""
+def count_peer_transfers(fleet):
+    """Return how often nodes received operator records from peers."""
     return sum(relay.counters.counts["peers.gave.operator"] for relay in fleet.relays)
 
 
-async def test_a_node_that_the_store_turns_away_gets_a_large_configuration(monkeypatch):
-    """The store serves some nodes only; the others have to hear of taken keys too."""
+async def test_a_node_that_the_store_refuses_gets_a_large_configuration(monkeypatch):
+    """The store serves only some nodes; the others must learn of revoked keys too."""
     monkeypatch.setattr(_peer_state, "LINK_MBPS", 0.01)
     async with Relayed(relays=5) as fleet:
-        await start_fleet(fleet)
-        await end_first_waits(fleet)
+        await wait_for_fleet(fleet)
+        await finish_initial_waits(fleet)
         now_s = time.monotonic()
-        away = [r for r in fleet.relays if not waits_for_operators(r, now_s=now_s)]
-        assert away
+        refused_nodes = [
+            r for r in fleet.relays if not waits_for_operators(r, now_s=now_s)
+        ]
+        assert refused_nodes
 
-        async def turn_away(relay, store, name, *, wait_s, read=_follow.read_once):
-            if relay in away:
+        async def refuse_some(relay, store, name, *, wait_s, read=_follow.read_once):
+            if relay in refused_nodes:
                 store.address = "127.0.0.1:9"
                 await store.aclose()
             await read(relay, store, name, wait_s=wait_s)
 
-        monkeypatch.setattr(_follow, "read_once", turn_away)
+        monkeypatch.setattr(_follow, "read_once", refuse_some)
         fleet.store.put("keyed.op", "config", make_config(version=2))
         took_s = await wait_for_version(fleet, fleet.relays, 2)
     assert took_s < 1.5
 
 
 async def test_a_configuration_is_in_force_soon_though_its_readers_are_frozen():
-    """All nodes that wait for operators' records say nothing any more.
+    """All nodes that wait for operator records are frozen.
 
     The others notice, wait for the records themselves, and have them within 2 s.
     """
     async with Relayed(relays=6) as fleet:
-        await start_fleet(fleet)
-        await end_first_waits(fleet)
+        await wait_for_fleet(fleet)
+        await finish_initial_waits(fleet)
         now_s = time.monotonic()
         readers = [r for r in fleet.relays if waits_for_operators(r, now_s=now_s)]
         others = [relay for relay in fleet.relays if relay not in readers]
@@ -245,8 +248,8 @@
         for relay in others:
             hear = relay.peers.hear
 
-            def ignore(hello, *, now_s, hear=hear):
-                return hello.node not in frozen and hear(hello, now_s=now_s)
+            def ignore(heartbeat, *, now_s, hear=hear):
+                return heartbeat.node not in frozen and hear(heartbeat, now_s=now_s)
 
             relay.peers.hear = ignore
         fleet.store.put("keyed.op", "config", make_config(version=2))
@@ -254,26 +257,27 @@
     assert took_s < 1.9
 
 
-async def test_old_news_of_operators_does_not_keep_a_node_busy():
-    """A peer's news came while the node itself read the same from the store.
+async def test_an_outdated_operator_notice_does_not_keep_a_node_busy():
+    """Guards against a busy loop after a notice about records already read.
 
-    Taken for new again and again, it kept the whole loop busy.
+    A peer's notice came while the node itself read the same records from the store. It
+    was taken for new again and again, and kept the event loop busy.
     """
     async with Relayed(relays=5) as fleet:
-        await start_fleet(fleet)
-        await end_first_waits(fleet)
+        await wait_for_fleet(fleet)
+        await finish_initial_waits(fleet)
         now_s = time.monotonic()
         relay = next(
             one for one in fleet.relays if not waits_for_operators(one, now_s=now_s)
         )
         looks = []
-        lags_behind = relay.lags_behind
+        is_behind_peers = relay.is_behind_peers
 
         def look(*, now_s):
             looks.append(now_s)
-            return lags_behind(now_s=now_s)
+            return is_behind_peers(now_s=now_s)
 
-        relay.lags_behind = look
-        relay.operator_news.set()
+        relay.is_behind_peers = look
+        relay.operator_update.set()
         await anyio.sleep(1.0)
     assert len(looks) < 15
--- a/lycheetide/relay/tests/test_signals.py
+++ b/lycheetide/relay/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals come at any moment of a process's life."""
+"""Signals may arrive at any time in the life of a process."""
 
 import signal
 import subprocess
@@ -24,14 +24,14 @@
 stop_s = 3.0
 stop_notice_s = 1.0
 """
-INTERPRETER_S = 20.0
-"""At most, from the start of a process until it runs any code of ours."""
+INTERPRETER_START_S = 20.0
+"""Limit on the time from the start of a process until it runs code of this project."""
 EXIT_S = 6.0
 
 
 @pytest.fixture
 def node(tmp_path):
-    """Start a relay whose store never answers, as a process; end it."""
+    """Start a relay process whose store never answers, and terminate it afterwards."""
     addresses = [f"{LOOPBACK}:{find_port()}" for _ in range(4)]
     path = tmp_path / "node.ini"
     path.write_text(SETTINGS.format(*addresses))
@@ -48,13 +48,14 @@
 
 
 def test_a_hangup_while_a_node_starts_does_not_end_it(node):
-    """Operators change settings just as a node starts, and it is told by a hangup.
+    """Guards against a SIGHUP that terminates a node during its start.
 
-    The process ended without a word, and was missing until it was started again.
+    Operators change the settings while a node starts, and the hangup signal reports the
+    change. The process ended without a message and was missing until it was restarted.
     """
     begun_s = time.monotonic()
     while not takes_hangups(node.pid):
-        assert time.monotonic() - begun_s < INTERPRETER_S
+        assert time.monotonic() - begun_s < INTERPRETER_START_S
         time.sleep(0.002)
     begun_s = time.monotonic()
     while time.monotonic() - begun_s < 1.5:
@@ -64,7 +65,7 @@
 
 
 def test_a_hangup_while_a_node_leaves_cuts_nothing(node):
-    """A node that was told to stop gets a hangup while it still serves callers."""
+    """A node that was told to stop receives a SIGHUP while it still serves clients."""
     assert b"has started" in node.stdout.readline()
     node.send_signal(signal.SIGTERM)
     time.sleep(0.3)
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -1,6 +1,6 @@
-"""Many nodes tell one another of their work with few datagrams.
+"""Many nodes broadcast their work with few datagrams.
 
-The fleets here have no network: datagrams go from list to list.
+Most fleets here have no network: datagrams go from list to list.
 """
 
 import time
@@ -22,9 +22,9 @@
     order_node,
 )
 from lycheetide.relay import _spreading
-from lycheetide.relay._gossip import APART_S, TOGETHER_MOST, Gossip
+from lycheetide.relay._gossip import BURST_PAUSE_S, MAX_BURST, Gossip
 from lycheetide.relay._sharing import HUB_SILENT_S, find_hubs, is_hub
-from lycheetide.relay._spreading import BUNDLE_BYTES, Spreader, make_bundles
+from lycheetide.relay._spreading import MAX_BUNDLE_BYTES, Broadcaster, make_bundles
 from standins.relayed import Relayed
 
 pytestmark = pytest.mark.anyio
@@ -39,7 +39,7 @@
 
 
 def make_node(index, *, domains=DOMAINS, link_mbps=0.0):
-    """Return what the functions under test read of a relay."""
+    """Return a stand-in with what the tested functions read of a relay."""
     name = f"front-{index}.1.2"
     return SimpleNamespace(
         node=name,
@@ -65,10 +65,11 @@
 
 
 def make_fleet(count, *, now_s=None, domains=DOMAINS, links_mbps=()):
-    """Return nodes that have heard one another, by default just now, by address.
+    """Return nodes that have received each other's heartbeats, by address.
 
-    The first nodes have the links that are given. To make a large fleet takes a second
-    on a busy machine, after which its nodes count as silent; so tests say when it was.
+    By default they received them just now. The first nodes have the given bandwidths.
+    Making a large fleet takes a second on a busy machine, after which its nodes count
+    as silent; so tests pass the time of the heartbeats.
     """
     links_mbps = [*links_mbps, *(0.0 for _ in range(count))]
     nodes = [
@@ -80,7 +81,9 @@
         for other in nodes:
             if other is not node:
                 node.peers.hear(make_hello(other), now_s=now_s)
-        node.spreader = Spreader(node, lambda data, to, by=node: by.sent.append(to))
+        node.broadcaster = Broadcaster(
+            node, lambda data, to, by=node: by.sent.append(to)
+        )
     return {node.peers.own_address: node for node in nodes}
 
 
@@ -101,11 +104,11 @@
         ) == {hub.node for hub in hubs}
 
 
-def test_hubs_stand_where_links_are_widest():
-    """A hub's link is full, and all nodes know late of one another's work, or never.
+def test_hubs_are_nodes_with_the_highest_bandwidth():
+    """Guards against a hub with a saturated link, which delays or loses messages.
 
-    195 nodes place 160 prompts a second; what a hub passes on fills a link of
-    10 Mbit/s, and three nodes of its failure domain have ten times that.
+    195 nodes place 160 prompts a second. What a hub forwards fills a link of 10 Mbit/s,
+    while three nodes of its failure domain have ten times that bandwidth.
     """
     domains = ("a", "b", "c", "d", "e")
     links_mbps = [10.0] * 195
@@ -116,26 +119,26 @@
     hubs = [node for node in fleet.values() if is_hub(node, now_s=now_s)]
     assert sorted(hub.settings.failure_domain for hub in hubs) == list(domains)
     assert {hub.settings.link_mbps for hub in hubs} == {100.0}
-    bits_per_s = 8 * count_passed_on(hubs[0], per_s=160, now_s=now_s)
+    bits_per_s = 8 * count_forwarded_bytes(hubs[0], per_s=160, now_s=now_s)
     assert bits_per_s < 0.2 * hubs[0].settings.link_mbps * 1e6
 
 
-def count_passed_on(hub, *, per_s, now_s):
-    """Return the bytes that a hub sends in a second for so many prompts, with heads."""
+def count_forwarded_bytes(hub, *, per_s, now_s):
+    """Return the bytes, headers included, that a hub forwards in one second."""
     sent: list[bytes] = []
-    hub.spreader._send = lambda data, _: sent.append(data)
-    turns = round(1 / _spreading.GATHER_S)
+    hub.broadcaster._send = lambda data, _: sent.append(data)
+    turns = round(1 / _spreading.BUNDLE_DELAY_S)
     for turn in range(turns):
         messages = []
         for number in range(turn * per_s // turns, (turn + 1) * per_s // turns):
             started = make_started(number)
             messages += [started, Ended(started.node, started.job)]
-        hub.spreader._pass_on(messages, now_s=now_s)
+        hub.broadcaster._send_bundles(messages, now_s=now_s)
     return sum(len(data) + DATAGRAM_HEAD_BYTES for data in sent)
 
 
 def test_a_hub_that_falls_silent_or_leaves_is_replaced():
-    """A hub is frozen: what nodes tell it reaches nobody of its failure domain."""
+    """A hub is frozen, so messages sent to it reach no node of its failure domain."""
     fleet = make_fleet(60)
     node = next(iter(fleet.values()))
     now_s = time.monotonic()
@@ -155,16 +158,17 @@
 
 
 def test_datagrams_of_one_request_do_not_grow_with_a_large_fleet():
-    """Ninety nodes tell one another of each request.
+    """Guards against datagrams to every node in a large fleet.
 
-    Two datagrams to each of them for each request of the fleet kept them all busy.
+    Ninety nodes sent two datagrams to each other for each request of the fleet, which
+    kept them all busy.
     """
     counts = {}
     for size in (8, 60, 120):
         fleet = make_fleet(size)
         node = next(iter(fleet.values()))
-        node.spreader.tell(make_started(1))
-        node.spreader.tell(Ended("front-17.1ecc477f.f88", "1"))
+        node.broadcaster.broadcast_via_hubs(make_started(1))
+        node.broadcaster.broadcast_via_hubs(Ended("front-17.1ecc477f.f88", "1"))
         counts[size] = len(node.sent)
     assert counts[8] == 2 * 7
     assert counts[60] <= 2 * len(DOMAINS)
@@ -178,15 +182,16 @@
     assert len(bundles) <= 12
     for bundle in bundles:
         data = _spreading.encode_message(bundle)
-        assert len(data) < BUNDLE_BYTES + 100
+        assert len(data) < MAX_BUNDLE_BYTES + 100
         assert decode_message(data) == bundle
 
 
 def test_a_node_that_is_vouched_for_lives_and_a_dead_one_is_not_vouched_for_long():
-    """In a large fleet nodes greet one another rarely, and hubs say who lives.
+    """Guards against dead nodes that stay alive on hearsay.
 
-    Did they say so of nodes that they only heard of, a dead node would live for ever,
-    and its share of each cold replica would stay unused.
+    In a large fleet nodes exchange heartbeats rarely, and hubs report who is alive. If
+    they also reported nodes that they only heard of, a dead node would stay alive
+    forever, and its share of each cold replica would stay unused.
     """
     fleet = make_fleet(60)
     node, other, *_ = fleet.values()
@@ -200,9 +205,9 @@
 
 
 def test_a_request_whose_end_was_lost_is_settled_by_the_next_greeting():
-    """The datagram with a request's end is lost.
+    """The datagram that reports the end of a request is lost.
 
-    Its replica looked busy at every other node until the request's deadline, so it
+    Its replica appeared busy at every other node until the request's deadline, so it
     got no work for some ten seconds.
     """
     board = Board()
@@ -216,24 +221,24 @@
 
 
 def make_gossip(node):
-    """Return a node's gossip that sends nowhere."""
+    """Return a node's ``Gossip`` without sockets."""
     gossip = Gossip.__new__(Gossip)
     gossip.relay = node
     return gossip
 
 
-def count_greetings(fleet, *, now_s):
-    """Return how many greetings a second come to each address."""
+def count_heartbeats_per_s(fleet, *, now_s):
+    """Return the number of heartbeats per second that each address receives."""
     per_s: Counter[str] = Counter()
     for node in fleet.values():
         gossip = make_gossip(node)
-        pauses = gossip._plan_greetings(len(fleet) - 1, now_s=now_s)
-        # A greeting to the hubs takes the place of one to those that are close.
-        close_per_s = 1 / pauses.close_s - 1 / pauses.hubs_s
+        intervals = gossip._choose_intervals(len(fleet) - 1, now_s=now_s)
+        # A heartbeat to the hubs replaces one within the failure domain.
+        domain_per_s = 1 / intervals.domain_s - 1 / intervals.hubs_s
         for addresses, rate_per_s in (
-            (list(fleet), 1 / pauses.all_s),
-            (gossip._list_hubs(now_s=now_s), 1 / pauses.hubs_s),
-            (gossip._list_close(now_s=now_s), close_per_s),
+            (list(fleet), 1 / intervals.all_s),
+            (gossip._list_hub_targets(now_s=now_s), 1 / intervals.hubs_s),
+            (gossip._list_domain_targets(now_s=now_s), domain_per_s),
         ):
             for address in addresses:
                 per_s[address] += rate_per_s
@@ -241,61 +246,62 @@
 
 
 def test_greetings_of_a_large_fleet_are_few_and_never_many_at_once():
-    """Every hub greeted ninety nodes three times a second, all at one moment.
+    """Guards against bursts of heartbeats that delay other messages.
 
-    On a link of 10 Mbit/s each round held all else up for 70 ms, and nodes knew that
-    late of one another's work.
+    Every hub sent heartbeats to ninety nodes three times a second, all at once. On a
+    link of 10 Mbit/s each round delayed everything else by 70 ms, and nodes learned
+    that late of each other's work.
     """
     now_s = time.monotonic()
     fleet = make_fleet(92, now_s=now_s)
-    per_s = count_greetings(fleet, now_s=now_s)
+    per_s = count_heartbeats_per_s(fleet, now_s=now_s)
     hubs = {n.peers.own_address for n in fleet.values() if is_hub(n, now_s=now_s)}
     others = [rate for address, rate in per_s.items() if address not in hubs]
     assert max(others) < 20
-    assert TOGETHER_MOST * 1_000 * 8 / 10e6 < APART_S
+    assert MAX_BURST * 1_000 * 8 / 10e6 < BURST_PAUSE_S
 
 
-def test_a_node_that_was_never_heard_is_greeted_soon_again():
-    """First greetings are lost when 195 nodes start, and the next ones come 19 s later.
+def test_a_node_never_heard_from_soon_gets_another_heartbeat():
+    """First heartbeats are lost when 195 nodes start, and the next came 19 s later.
 
-    Until then a third of the nodes were unknown to each other.
+    Until then a third of the nodes didn't know each other.
     """
     fleet = make_fleet(60)
     node = next(iter(fleet.values()))
     now_s = time.monotonic()
     node.peers.learn("10.0.9.9:7", now_s=now_s)
     gossip = make_gossip(node)
-    assert "10.0.9.9:7" in gossip._list_hubs(now_s=now_s)
-    assert gossip._plan_greetings(60, now_s=now_s).hubs_s <= 2.0
+    assert "10.0.9.9:7" in gossip._list_hub_targets(now_s=now_s)
+    assert gossip._choose_intervals(60, now_s=now_s).hubs_s <= 2.0
 
 
-def test_a_hub_is_greeted_often_by_its_own_failure_domain_only():
-    """195 nodes greeted each of five hubs 2.5 times a second.
+def test_a_hub_gets_frequent_heartbeats_only_from_its_failure_domain():
+    """195 nodes sent heartbeats to each of five hubs 2.5 times a second.
 
-    Each hub took in 490 greetings a second, a third of what a small link carries.
+    Each hub received 490 heartbeats a second, a third of what a small link can carry.
     """
     now_s = time.monotonic()
     fleet = make_fleet(195, domains=("a", "b", "c", "d", "e"), now_s=now_s)
-    per_s = count_greetings(fleet, now_s=now_s)
+    per_s = count_heartbeats_per_s(fleet, now_s=now_s)
     hubs = {n.peers.own_address for n in fleet.values() if is_hub(n, now_s=now_s)}
     assert all(90 < per_s[hub] < 220 for hub in hubs)
 
 
 @pytest.mark.parametrize(("count", "most_per_s"), [(9, 30), (22, 45)])
-def test_greetings_of_a_fleet_without_hubs_are_few(count, most_per_s):
-    """Each of 22 nodes greeted all others 3.3 times a second, 70 greetings to each."""
+def test_heartbeats_of_a_fleet_without_hubs_are_few(count, most_per_s):
+    """Each of 22 nodes sent all others 3.3 heartbeats a second; each received 70."""
     now_s = time.monotonic()
     fleet = make_fleet(count, now_s=now_s)
     per_s = 0.0
     for node in fleet.values():
-        pauses = make_gossip(node)._plan_greetings(count - 1, now_s=now_s)
-        per_s += 1 / pauses.close_s
-        assert 2 * pauses.close_s < HUB_SILENT_S or not is_hub(node, now_s=now_s)
+        intervals = make_gossip(node)._choose_intervals(count - 1, now_s=now_s)
+        per_s += 1 / intervals.domain_s
+        assert 2 * intervals.domain_s < HUB_SILENT_S or not is_hub(node, now_s=now_s)
     assert per_s < most_per_s
 
 
 async def test_all_nodes_of_a_large_fleet_know_all_work(monkeypatch):
-    """Each node tells hubs only, and still every node knows what was placed where."""
+    """Each node sends to hubs only, and every node still learns of all placements."""
     monkeypatch.setattr(_spreading, "LARGE_FLEET", 3)
     async with Relayed(relays=5) as fleet:
         await fleet.wait_for(
