--- a/lycheetide/fleet/__init__.py
+++ b/lycheetide/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""The fleet's configuration: what runs where, and how the log decides on changes."""
+"""The fleet configuration, its validation and the changes applied from the log."""
 
+from lycheetide.fleet._availability import takes_new_work
 from lycheetide.fleet._build import FleetBuilder, print_fleet
 from lycheetide.fleet._check import check_document, find_faults
 from lycheetide.fleet._fold import (
@@ -21,7 +22,6 @@
     decode_entry,
     encode_entry,
 )
-from lycheetide.fleet._open import takes_new_work
 
 __all__ = [
     "ConfigState",
--- a/lycheetide/fleet/_build.py
+++ b/lycheetide/fleet/_build.py
@@ -1,4 +1,4 @@
-r"""The operators' library: build a configuration in Python and print it.
+r"""Python interface for operators: build a configuration and print it as JSON.
 
 Examples
 --------
@@ -30,12 +30,13 @@
 
 
 class FleetBuilder:
-    """Collects the entries of a configuration.
+    """Builder of a fleet configuration.
 
     Parameters
     ----------
     replicas_per_cell : int, default=8
-        How many replicas of one model in one region one node owns together.
+        The maximum number of replicas in a cell. A cell holds replicas of one model
+        in one region and is owned by one node.
     """
 
     def __init__(self, *, replicas_per_cell=REPLICAS_PER_CELL):
@@ -58,20 +59,20 @@
         self._entries["failure_domains"].append(FailureDomain(name, region, state))
 
     def add_upstream(self, name, **fields):
-        """Add a replica; fields as in ``Upstream``; the cell is chosen."""
+        """Add a replica; fields as in ``Upstream``. Its cell is assigned."""
         self._upstreams.append((name, fields))
 
     def add_class(self, name, **fields):
-        """Add a class of request; fields as in ``RequestClass``."""
+        """Add a request class; fields as in ``RequestClass``."""
         self._entries["classes"].append(RequestClass(name, **fields))
 
     def add_customer(self, name, *, token, **fields):
-        """Add a customer; only the hash of its token is kept."""
+        """Add a customer; only the SHA-256 hash of its token is stored."""
         digest = hashlib.sha256(token.encode()).hexdigest()
         self._entries["customers"].append(Customer(name, digest, **fields))
 
     def add_operation(self, service, name, *, idempotent):
-        """Add an operation of a plain service."""
+        """Add an operation of a service that is not a model engine."""
         self._entries["operations"].append(Operation(service, name, idempotent))
 
     def make_document(self):
@@ -84,10 +85,10 @@
         return document
 
     def _assign_cells(self):
-        """Yield the replicas; each cell mixes failure domains.
+        """Yield the replicas with their cells; each cell spans failure domains.
 
-        If a cell lay in one failure domain, taking the domain out would leave the
-        cell's owner with a queue and no replica.
+        If a cell lay in a single failure domain, taking that domain out of service
+        would leave the cell's owner with queued requests and no replica.
         """
         regions = {d.name: d.region for d in self._entries["failure_domains"]}
         groups: dict[tuple[str, str], list[Any]] = {}
@@ -103,7 +104,17 @@
 
 
 def print_fleet(builder):
-    """Return the checked configuration as the JSON text to publish.
+    """Validate a configuration and return it as the JSON text to publish.
+
+    Parameters
+    ----------
+    builder : FleetBuilder
+        The configuration.
+
+    Returns
+    -------
+    str
+        JSON with one entry per line.
 
     Raises
     ------
--- a/lycheetide/fleet/_check.py
+++ b/lycheetide/fleet/_check.py
@@ -1,4 +1,4 @@
-"""Check a configuration as a whole and report every fault with its place."""
+"""Validate a configuration as a whole and report every error with its location."""
 
 import json
 
@@ -10,11 +10,11 @@
 DOMAIN_STATES = ("in", "out", "returning")
 UPSTREAM_STATES = ("in", "leaving")
 UPSTREAM_KINDS = ("engine", "service")
-SHA256_DIGITS = 64
+SHA256_HEX_DIGITS = 64
 
 
 def find_faults(fleet):
-    """Yield a finding for each entry that is wrong or refers to nothing.
+    """Yield a finding for each invalid entry and each dangling reference.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     Yields
     ------
     tuple of (str, str, str, str, str)
-        Section, entry, field, what came and what was expected.
+        Section, entry name, field, actual value and expected value.
     """
     yield from _find_domain_faults(fleet)
     yield from _find_upstream_faults(fleet)
@@ -54,9 +54,9 @@
         if upstream.failure_domain not in fleet.failure_domains:
             came = repr(upstream.failure_domain)
             yield section, name, "failure_domain", came, "a known failure domain"
-        known = fleet.models if upstream.kind == "engine" else services
-        if upstream.serves not in known:
-            yield section, name, "serves", repr(upstream.serves), "a known name"
+        known_names = fleet.models if upstream.kind == "engine" else services
+        if upstream.serves not in known_names:
+            yield section, name, "serves", repr(upstream.serves), "a configured name"
         if not upstream.url.startswith(("http://", "https://")):
             yield section, name, "url", repr(upstream.url), "an HTTP URL"
         if not 0 < upstream.cold_limit_requests <= upstream.warm_limit_requests:
@@ -69,12 +69,15 @@
 
 
 def _find_cell_faults(fleet):
-    """A cell has one owner, so it serves one name in one region."""
-    seen: dict[str, tuple[str, str | None]] = {}
+    """Check that the replicas of a cell serve one name in one region.
+
+    A cell has a single owner.
+    """
+    scopes: dict[str, tuple[str, str | None]] = {}
     for name, upstream in fleet.upstreams.items():
         domain = fleet.failure_domains.get(upstream.failure_domain)
         region = domain.region if domain else None
-        first = seen.setdefault(upstream.cell, (upstream.serves, region))
+        first = scopes.setdefault(upstream.cell, (upstream.serves, region))
         if first != (upstream.serves, region):
             expected = f"a cell of {upstream.serves} in {region}"
             yield "upstreams", name, "cell", repr(upstream.cell), expected
@@ -91,12 +94,12 @@
 def _find_customer_faults(fleet):
     owners: dict[str, str] = {}
     for name, customer in fleet.customers.items():
-        if len(customer.token_sha256) != SHA256_DIGITS:
+        if len(customer.token_sha256) != SHA256_HEX_DIGITS:
             came = f"{len(customer.token_sha256)} digits"
-            yield "customers", name, "token_sha256", came, f"{SHA256_DIGITS} digits"
+            yield "customers", name, "token_sha256", came, f"{SHA256_HEX_DIGITS} digits"
         elif owners.setdefault(customer.token_sha256, name) != name:
             came = f"the token of {owners[customer.token_sha256]}"
-            yield "customers", name, "token_sha256", came, "a token of its own"
+            yield "customers", name, "token_sha256", came, "a unique token"
         if customer.weight <= 0:
             yield "customers", name, "weight", str(customer.weight), "more than 0"
 
@@ -114,19 +117,19 @@
 
 
 def check_document(document, *, place):
-    """Build a fleet from plain data.
+    """Validate plain data and build a fleet from it.
 
     Parameters
     ----------
     document : mapping
-        For each section, a list of entries.
+        A list of entries for each section.
     place : str
-        Where it came from, for the findings.
+        The source of the document, reported in the findings.
 
     Returns
     -------
     Fleet
-        The checked configuration.
+        The validated configuration.
 
     Raises
     ------
@@ -149,13 +152,13 @@
     )
     if findings:
         raise ExceptionGroup(
-            "broken configuration", [SettingsError(finding) for finding in findings]
+            "invalid configuration", [SettingsError(finding) for finding in findings]
         )
     return fleet
 
 
 def _decode_rows(section, rows, place, findings):
-    """Decode one section; what can't be decoded becomes a finding."""
+    """Decode one section; append a finding for each row that can't be decoded."""
     entries = {}
     for index, row in enumerate(rows):
         name = entry_name(section, row)
@@ -164,7 +167,12 @@
         except (msgspec.ValidationError, TypeError) as error:
             findings.append(
                 Finding(
-                    place, f"{section}/{name or index}", "", 0, str(error), "an entry"
+                    place,
+                    f"{section}/{name or index}",
+                    "",
+                    0,
+                    str(error),
+                    "a valid entry",
                 )
             )
             continue
@@ -177,7 +185,7 @@
 
 
 def entry_name(section, row):
-    """Return the name under which an entry, as plain data, is kept."""
+    """Return the name under which an entry, given as plain data, is stored."""
     if not isinstance(row, dict):
         return ""
     if section == "operations":
@@ -186,25 +194,27 @@
 
 
 def place_lines(text, findings):
-    """Give findings of a JSON text the line on which their entry's name stands.
+    """Add line numbers to findings about a JSON text.
+
+    The line is the one that holds the name of the entry.
 
     Parameters
     ----------
     text : str
-        The document, one name a line as ``print_fleet`` writes it.
+        The document with one entry per line, as ``print_fleet`` writes it.
     findings : iterable of Finding
-        Findings without a line.
+        Findings without line numbers.
 
     Yields
     ------
     Finding
-        The same findings, with lines where the name was found.
+        The same findings; the line is 0 where the name was not found.
     """
     lines = text.splitlines()
     for finding in findings:
         name = json.dumps(finding.section.rpartition("/")[2])
-        wanted = f'"name": {name}'
-        line = next((n for n, row in enumerate(lines, 1) if wanted in row), 0)
+        name_field = f'"name": {name}'
+        line = next((n for n, row in enumerate(lines, 1) if name_field in row), 0)
         yield Finding(
             finding.place,
             finding.section,
--- a/lycheetide/fleet/_fold.py
+++ b/lycheetide/fleet/_fold.py
@@ -1,7 +1,7 @@
-"""Decide, from the log alone, which changes are in force.
+"""Apply the configuration changes recorded on the log.
 
-Every node folds the same records in the same order, so all of them take the same
-decision on two operators who raced, and nobody has to be asked.
+Every node folds the same records in the same order. All nodes therefore reach the same
+decision on conflicting changes by two operators without any further coordination.
 """
 
 from collections.abc import Mapping
@@ -14,12 +14,12 @@
 from lycheetide.fleet._check import find_faults
 from lycheetide.fleet._model import ENTRY_TYPES, Fleet, decode_entry, encode_entry
 
-NOT_FOLDED = -1
+BEFORE_FIRST_OFFSET = -1
 
 
 @dataclass(frozen=True)
-class Entry:
-    """One entry and the version at which it last changed."""
+class VersionedEntry:
+    """A configuration entry and the version at which it last changed."""
 
     value: Any
     version: int
@@ -27,24 +27,25 @@
 
 @dataclass(frozen=True)
 class ConfigState:
-    """What the log says up to an offset.
+    """The configuration as of a log offset.
 
     Parameters
     ----------
     version : int
-        The accepted record's offset plus one; 0 before the first.
+        The offset of the last accepted record plus one; 0 before the first one.
     folded_offset : int
-        The last record that was folded, accepted or not.
-    entries : mapping of (str, str) to Entry
-        By section and name; a deleted entry keeps its version with value None, so
-        that a change made from before the deletion is still found out.
+        The offset of the last folded record, whether it was accepted or not.
+    entries : mapping of (str, str) to VersionedEntry
+        By section and name. A deleted entry keeps its version with the value None, so
+        that a change based on a version before the deletion is still detected as a
+        conflict.
     fleet : Fleet
-        The entries, by section.
+        The entries that are not deleted, by section.
     """
 
     version: int = 0
-    folded_offset: int = NOT_FOLDED
-    entries: Mapping[tuple[str, str], Entry] = field(
+    folded_offset: int = BEFORE_FIRST_OFFSET
+    entries: Mapping[tuple[str, str], VersionedEntry] = field(
         default_factory=lambda: MappingProxyType({})
     )
     fleet: Fleet = field(default_factory=Fleet)
@@ -52,16 +53,16 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What became of one change record.
+    """The outcome of one change record.
 
     Parameters
     ----------
     record_id : str
-        The id that its author gave it.
+        The id that the author assigned.
     accepted : bool
-        Whether it is in force.
+        Whether the change was applied.
     findings : tuple of str
-        Why not, all at once.
+        All reasons for a refusal.
     """
 
     record_id: str
@@ -70,23 +71,23 @@
 
 
 def make_change_record(record_id, *, author, base_version, changes):
-    """Return a change as it stands on the log.
+    """Return a change in the format of the log.
 
     Parameters
     ----------
     record_id : str
-        An id that is never used twice.
+        A unique id.
     author : str
-        Who made it.
+        The operator who made the change.
     base_version : int
-        The version that the author saw.
+        The configuration version that the author changed.
     changes : iterable of (str, str, entry or None)
-        Section, name and the new entry; None deletes it.
+        Section, name and new entry; None deletes the entry.
 
     Returns
     -------
     dict
-        Plain data.
+        The record as plain data.
     """
     rows = [
         [section, name, None if entry is None else encode_entry(entry)]
@@ -102,56 +103,56 @@
 
 
 def fold(state, offset, record):
-    """Take one record into the state.
+    """Apply one log record to the state.
 
     Parameters
     ----------
     state : ConfigState
-        What the records below ``offset`` gave.
+        The state after all records below ``offset``.
     offset : int
-        The record's place on the log.
+        The offset of the record on the log.
     record : mapping
-        The record as read; it may be broken.
+        The record as read from the log; it may be malformed.
 
     Returns
     -------
     state : ConfigState
-        The new state; the fleet is the old one where the record was refused.
+        The new state; the fleet is unchanged if the record was refused.
     verdict : Verdict or None
-        None for records that are no change, and for records folded before.
+        None for records that are not changes and for records folded before.
     """
     if offset <= state.folded_offset:
         return state, None
-    passed = _with_offset(state, offset)
+    advanced = _advance_offset(state, offset)
     if not isinstance(record, dict) or record.get("kind") != "change":
-        return passed, None
+        return advanced, None
     record_id = str(record.get("id", ""))
     try:
-        entries, findings = _apply(state, offset + 1, record)
+        entries, findings = _apply_changes(state, offset + 1, record)
     except (KeyError, TypeError, ValueError, msgspec.ValidationError) as error:
-        return passed, Verdict(record_id, False, (f"malformed record: {error}",))
+        return advanced, Verdict(record_id, False, (f"malformed record: {error}",))
     if findings:
-        return passed, Verdict(record_id, False, tuple(findings))
-    fleet = _change_fleet(state.fleet, entries, record["changes"])
+        return advanced, Verdict(record_id, False, tuple(findings))
+    fleet = _update_fleet(state.fleet, entries, record["changes"])
     faults = tuple(
         f"{section}/{name} {key}: got {came}, expected {expected}"
         for section, name, key, came, expected in find_faults(
-            _narrow(fleet, record["changes"])
+            _select_affected(fleet, record["changes"])
         )
     )
     if faults:
-        return passed, Verdict(record_id, False, faults)
+        return advanced, Verdict(record_id, False, faults)
     accepted = ConfigState(offset + 1, offset, MappingProxyType(entries), fleet)
     return accepted, Verdict(record_id, True)
 
 
-def _with_offset(state, offset):
-    """Return the state with ``offset`` counted as folded."""
+def _advance_offset(state, offset):
+    """Return the state with ``offset`` as the last folded record."""
     return ConfigState(state.version, offset, state.entries, state.fleet)
 
 
-def _apply(state, version, record):
-    """Return the changed entries and the findings against the change."""
+def _apply_changes(state, version, record):
+    """Return the entries after a change, and the reasons to refuse the change."""
     base_version = int(record["base_version"])
     entries = dict(state.entries)
     findings = []
@@ -167,17 +168,17 @@
             )
             continue
         entry = None if value is None else decode_entry(section, value)
-        entries[section, name] = Entry(entry, version)
+        entries[section, name] = VersionedEntry(entry, version)
     return entries, findings
 
 
-def _narrow(fleet, changes):
-    """Return the part of a configuration in which a change can have made faults.
+def _select_affected(fleet, changes):
+    """Return the part of a configuration that a change can have made invalid.
 
-    The configuration before was without faults. Where only upstreams were put, what
-    refers to them are the other upstreams of their cells; all else needs no look.
-    With 12,000 upstreams a whole check at each of 1.2 changes a second would take the
-    whole of a node's time for control.
+    The configuration before the change was valid. If the change only adds or replaces
+    upstreams, only they and the other upstreams of their cells need validation. With
+    12,000 upstreams and 1.2 changes per second, validating the whole configuration at
+    each change would use all the time that a node has for control work.
     """
     if any(section != "upstreams" or not value for section, _, value in changes):
         return fleet
@@ -190,8 +191,8 @@
     return replace(fleet, upstreams=upstreams, operations={})
 
 
-def _change_fleet(fleet, entries, changes):
-    """Return a configuration with the changed entries, copying only their sections."""
+def _update_fleet(fleet, entries, changes):
+    """Return the configuration after a change; only changed sections are copied."""
     sections: dict[str, dict[str, Any]] = {}
     for section, name, _ in changes:
         if section not in sections:
@@ -206,8 +207,8 @@
     )
 
 
-def _make_fleet(entries):
-    """Sort live entries into their sections."""
+def _build_fleet(entries):
+    """Build a configuration from all entries that are not deleted."""
     sections: dict[str, dict[str, Any]] = {section: {} for section in ENTRY_TYPES}
     for (section, name), entry in entries.items():
         if entry.value is not None:
@@ -216,7 +217,7 @@
 
 
 def make_snapshot_record(state):
-    """Return the state as a record, so that older records may expire."""
+    """Return the state as a snapshot record; older records may then expire."""
     rows = [
         [section, name, None if entry.value is None else encode_entry(entry.value),
          entry.version]
@@ -233,7 +234,7 @@
 def restore(record):
     """Rebuild the state from a snapshot record."""
     entries = {
-        (section, name): Entry(
+        (section, name): VersionedEntry(
             None if value is None else decode_entry(section, value), version
         )
         for section, name, value, version in record["entries"]
@@ -242,45 +243,46 @@
         record["version"],
         record["folded_offset"],
         MappingProxyType(entries),
-        _make_fleet(entries),
+        _build_fleet(entries),
     )
 
 
-def is_continuous(record, first_retained):
-    """Tell whether a snapshot reaches up to the oldest record that is kept.
+def reaches_retained_records(record, first_retained):
+    """Return whether a snapshot reaches up to the oldest retained record.
 
-    A node that was frozen may append its snapshot long after the log has dropped
-    records that the snapshot has not seen. Taken for the truth, it would take the
-    fleet back to an older configuration; operators would notice a domain that they
-    had taken out serving again. Such a snapshot leaves a gap before the oldest record,
-    and is passed over.
+    A node whose process was suspended may append its snapshot long after the log has
+    dropped records that the snapshot does not include. Restoring it would revert the
+    fleet to an older configuration: a failure domain that operators had taken out of
+    service would serve again. Such a snapshot leaves a gap before the oldest retained
+    record and is ignored.
     """
     return record["folded_offset"] + 1 >= first_retained
 
 
 def begin(records, first_retained, state):
-    """Find the state from which the records can be folded without a gap.
+    """Return a state from which the records can be folded without a gap.
 
     Parameters
     ----------
     records : sequence of (int, record)
-        All records that the log still has, oldest first.
+        Offset and record of all records that the log retains, oldest first.
     first_retained : int
-        The offset of the oldest record kept.
+        The offset of the oldest retained record.
     state : ConfigState
-        What the node knows already.
+        The state that the node already has.
 
     Returns
     -------
     ConfigState or None
-        None if there is a gap and no snapshot closes it.
+        None if there is a gap that no snapshot closes, or if the latest snapshot that
+        closes it has a lower version than ``state``.
     """
     if state.folded_offset + 1 >= first_retained:
         return state
     for _, record in reversed(records):
         if not isinstance(record, dict) or record.get("kind") != "snapshot":
             continue
-        if is_continuous(record, first_retained):
+        if reaches_retained_records(record, first_retained):
             restored = restore(record)
             return restored if restored.version >= state.version else None
     return None
--- a/lycheetide/fleet/_model.py
+++ b/lycheetide/fleet/_model.py
@@ -1,4 +1,4 @@
-"""The entries of a fleet's configuration."""
+"""The entries of a fleet configuration."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True)
 class Model:
-    """A model and what of it is to be loaded.
+    """A model and the adapters to load with it.
 
     Parameters
     ----------
     name, version : str
-        The model's name and the version that runs.
+        The model and the version in use.
     adapters : tuple of str
-        The adapters loaded beside it.
+        The adapters loaded with the model.
     max_prompt_tokens : int
-        Longer prompts are refused.
+        The maximum prompt length; longer prompts are refused.
     """
 
     name: str
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class FailureDomain:
-    """A set of hosts and upstreams that fail together.
+    """A failure domain: hosts and upstreams that may fail together.
 
     Parameters
     ----------
     name, region : str
-        Its name and the region it lies in.
+        The failure domain and its region.
     state : {"in", "out", "returning"}
-        Whether it takes new work.
+        Whether its upstreams get new work.
     """
 
     name: str
@@ -47,30 +47,30 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """One replica of a model, or of a plain service.
+    """One replica of a model or of a service.
 
     Parameters
     ----------
     name : str
         The replica's name.
     kind : {"engine", "service"}
-        How it is spoken to.
+        Which protocol it speaks: that of a model engine or that of a service.
     serves : str
-        The model's or the service's name.
+        The name of the model or service.
     failure_domain, url : str
-        Where it is.
+        The failure domain that it belongs to and its base URL.
     cell : str
-        The group of replicas that one node owns together.
+        The group of replicas that it belongs to; one node owns the whole group.
     state : {"in", "leaving"}
-        Whether it takes new work.
+        Whether it gets new work.
     checks_fencing : bool
-        Whether it refuses orders that carry an old fencing number.
+        Whether it refuses requests with an outdated fencing number.
     kv_capacity_tokens : int
-        The memory of an engine.
+        The KV cache capacity of an engine.
     warm_limit_requests, cold_limit_requests : int
-        How many requests it bears at a time, warm and in cold start.
+        The maximum number of concurrent requests, warm and during a cold start.
     prefill_tokens_per_s : float
-        How fast it reads prompts, for estimates of the wait.
+        The prefill rate, used to estimate waiting times.
     """
 
     name: str
@@ -89,20 +89,21 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """A class of request.
+    """A request class with its priority and time limits.
 
     Parameters
     ----------
     name : str
-        As in the caller's header.
+        The value of the caller's request class header.
     priority : int
-        0 comes first.
+        The priority; 0 is the highest.
     deadline_s : float
-        The time that a request has where its caller names none.
+        The time limit of a request whose caller sets no deadline.
     aging_s : float
-        After waiting so long, a request counts as one priority higher.
+        A waiting request is raised by one priority each time this period passes.
     max_wait_s : float
-        A request expected to wait longer for a replica is refused at once.
+        The maximum wait for a replica; a request that is expected to wait longer is
+        refused at once.
     """
 
     name: str
@@ -114,20 +115,21 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """Who sends requests.
+    """A customer (tenant) with its credentials and limits.
 
     Parameters
     ----------
     name : str
-        The customer.
+        The customer's name.
     token_sha256 : str
-        The hash, in hexadecimal, of the token that its callers send.
+        The hexadecimal SHA-256 hash of the token that its callers send.
     weight : float
-        Its share beside other customers.
+        Its share of the capacity relative to other customers.
     retries_per_s, retry_burst : float
-        The budget from which its retries, and nobody else's, are paid.
+        The rate and the burst of its retry budget, which it shares with no other
+        customer.
     max_waiting_tokens : int
-        How many prompt tokens of its may wait in one cell.
+        The maximum number of its prompt tokens that may wait in one cell.
     """
 
     name: str
@@ -140,14 +142,15 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One call of a plain service.
+    """An operation of a service.
 
     Parameters
     ----------
     service, name : str
-        The service and the operation in its path.
+        The service and the name of the operation in the URL path.
     idempotent : bool
-        Whether it may be repeated; where not, a key is required.
+        Whether the operation may be repeated. If not, callers must send an
+        idempotency key.
     """
 
     service: str
@@ -156,7 +159,7 @@
 
     @property
     def entry_name(self):
-        """The entry's name in the configuration."""
+        """The name of the entry in the configuration."""
         return f"{self.service}/{self.name}"
 
 
@@ -171,33 +174,33 @@
 
 
 def decode_entry(section, value):
-    """Build an entry from plain data.
+    """Decode a configuration entry from plain data.
 
     Raises
     ------
     msgspec.ValidationError
-        With the path of what is wrong.
+        If the data is invalid; the message holds the path of the invalid field.
     """
     return msgspec.convert(value, ENTRY_TYPES[section])
 
 
 def encode_entry(entry):
-    """Turn an entry into plain data."""
+    """Encode a configuration entry as plain data."""
     return msgspec.to_builtins(entry)
 
 
-def _empty():
+def _empty_mapping():
     """Return an empty read-only mapping."""
     return MappingProxyType({})
 
 
 @dataclass(frozen=True)
 class Fleet:
-    """A whole configuration, section by section."""
-
-    models: Mapping[str, Model] = field(default_factory=_empty)
-    failure_domains: Mapping[str, FailureDomain] = field(default_factory=_empty)
-    upstreams: Mapping[str, Upstream] = field(default_factory=_empty)
-    classes: Mapping[str, RequestClass] = field(default_factory=_empty)
-    customers: Mapping[str, Customer] = field(default_factory=_empty)
-    operations: Mapping[str, Operation] = field(default_factory=_empty)
+    """A complete configuration: for each section, the entries by name."""
+
+    models: Mapping[str, Model] = field(default_factory=_empty_mapping)
+    failure_domains: Mapping[str, FailureDomain] = field(default_factory=_empty_mapping)
+    upstreams: Mapping[str, Upstream] = field(default_factory=_empty_mapping)
+    classes: Mapping[str, RequestClass] = field(default_factory=_empty_mapping)
+    customers: Mapping[str, Customer] = field(default_factory=_empty_mapping)
+    operations: Mapping[str, Operation] = field(default_factory=_empty_mapping)
--- a/lycheetide/fleet/tests/test_fold.py
+++ b/lycheetide/fleet/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""The log decides on changes, the same for every reader, and never goes back."""
+"""Every reader of the log applies the same changes, and none is ever reverted."""
 
 from dataclasses import replace
 
@@ -52,28 +52,28 @@
 
 @given(st.lists(changes | broken, max_size=14), st.data())
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_every_starting_point_gives_the_same_configuration(records, data):
-    """A node starts from a snapshot, another has read the log from its beginning.
+def test_configuration_does_not_depend_on_the_starting_point(records, data):
+    """One node starts from a snapshot, another reads the log from the beginning.
 
-    If they took different decisions on one record, one would send work to a domain
-    that the other keeps out.
+    If they decided differently on a record, one would send work to a failure domain
+    that the other one considers out of service.
     """
     whole, _ = fold_all(records)
     cut = data.draw(st.integers(0, len(records)))
     part, _ = fold_all(records[:cut])
     restored = restore(make_snapshot_record(part))
     resumed, _ = fold_all(records, restored, start=cut)
-    again, _ = fold_all(records, whole)
-    assert resumed.fleet == whole.fleet == again.fleet
-    assert resumed.version == whole.version == again.version
+    refolded, _ = fold_all(records, whole)
+    assert resumed.fleet == whole.fleet == refolded.fleet
+    assert resumed.version == whole.version == refolded.version
 
 
 @given(st.lists(changes, max_size=14))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_versions_only_rise_and_each_is_accepted_once(records):
-    """The same records are read again and again, in order.
+def test_versions_increase_and_each_change_is_accepted_once(records):
+    """Records are read several times, in order.
 
-    A version that fell would be an accepted configuration that reverts.
+    A decreasing version would mean that an accepted configuration was reverted.
     """
     state = ConfigState()
     for offset, record in enumerate(records):
@@ -81,15 +81,15 @@
         state, verdict = fold(state, offset, record)
         assert state.version >= before
         assert (state.version > before) == verdict.accepted
-        repeated, nothing = fold(state, offset, record)
-        assert (repeated, nothing) == (state, None)
+        repeated, no_verdict = fold(state, offset, record)
+        assert (repeated, no_verdict) == (state, None)
 
 
-def test_of_two_operators_the_first_on_the_log_wins_and_the_other_is_told():
-    """Two operators change the same domain, both from version 1.
+def test_first_of_two_conflicting_changes_is_accepted_and_second_refused():
+    """Two operators change the same failure domain, both based on version 1.
 
-    If the last one won, the first operator's domain would be back in service without
-    anybody having decided so.
+    If the last change won, the domain that the first operator took out would return to
+    service although nobody had decided so.
     """
     records = [
         make_change("base", 0, "cork-a", "in"),
@@ -102,7 +102,7 @@
     assert "changed at version 2" in verdicts[2].findings[0]
 
 
-def test_operators_who_touch_different_entries_do_not_collide():
+def test_changes_of_different_entries_do_not_conflict():
     records = [
         make_change("maeve", 0, "cork-a", "out"),
         make_change("sean", 0, "cork-b", "out"),
@@ -112,7 +112,7 @@
     assert set(state.fleet.failure_domains) == {"cork-a", "cork-b"}
 
 
-def test_a_broken_change_is_refused_with_all_its_findings():
+def test_invalid_change_is_refused_with_all_findings():
     record = make_change_record(
         "broken",
         author="maeve",
@@ -127,8 +127,8 @@
     assert len(verdicts[0].findings) == 2
 
 
-def test_a_changed_upstream_is_checked_against_its_cell():
-    """Only the changed upstream's cell is looked at; a fault there must be found."""
+def test_changed_upstream_is_validated_against_its_cell():
+    """Only the cell of a changed upstream is validated; errors there must be found."""
     builder = FleetBuilder()
     builder.add_model("assistant")
     builder.add_model("other")
@@ -145,20 +145,20 @@
         for name, entry in getattr(fleet, section).items()
     ]
     first = make_change_record("1", author="x", base_version=0, changes=changes)
-    moved = replace(fleet.upstreams["a2"], serves="other")
+    changed = replace(fleet.upstreams["a2"], serves="other")
     second = make_change_record(
-        "2", author="x", base_version=1, changes=[("upstreams", "a2", moved)]
+        "2", author="x", base_version=1, changes=[("upstreams", "a2", changed)]
     )
     state, verdicts = fold_all([first, second])
     assert [verdict.accepted for verdict in verdicts] == [True, False]
     assert state.version == 1
 
 
-def test_a_late_snapshot_of_a_thawed_node_is_passed_over():
-    """A node is frozen before it appends its snapshot, and thawed days later.
+def test_outdated_snapshot_of_a_resumed_node_is_ignored():
+    """A node is suspended before it appends its snapshot and resumed days later.
 
-    Meanwhile the log has dropped records that the snapshot has not seen. A node that
-    started from it would serve from a domain that was taken out long ago.
+    Meanwhile the log has dropped records that the snapshot does not include. A node
+    that started from it would use a failure domain that was taken out long ago.
     """
     records = [
         make_change("base", 0, "cork-a", "in"),
@@ -167,19 +167,19 @@
     old, _ = fold_all(records[:1])
     new, _ = fold_all(records)
     late = [(5, make_snapshot_record(old))]
-    good = [(4, make_snapshot_record(new))]
+    current = [(4, make_snapshot_record(new))]
     assert begin(late, 3, ConfigState()) is None
-    started = begin(good + late, 2, ConfigState())
+    started = begin(current + late, 2, ConfigState())
     assert started.fleet.failure_domains["cork-a"].state == "out"
 
 
-def test_a_node_that_was_away_past_retention_never_goes_below_what_it_knew():
-    """Records expire while a node is away, and only an old snapshot is left."""
+def test_node_absent_beyond_retention_never_reverts_its_configuration():
+    """Records expire while a node is down, and only an old snapshot remains."""
     records = [
         make_change("base", 0, "cork-a", "in"),
         make_change("out", 1, "cork-a", "out"),
     ]
-    known, _ = fold_all(records)
+    known_names, _ = fold_all(records)
     old, _ = fold_all(records[:1])
     snapshot = make_snapshot_record(old) | {"folded_offset": 9}
-    assert begin([(10, snapshot)], 8, known) is None
+    assert begin([(10, snapshot)], 8, known_names) is None
