--- a/lycheetide/settings/__init__.py
+++ b/lycheetide/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of one node: an INI file, checked as a whole."""
+"""Settings of a node or relay, read from an INI file and validated as a whole."""
 
 from lycheetide.settings._findings import Finding, SettingsError
 from lycheetide.settings._read import read_settings
--- a/lycheetide/settings/_checks.py
+++ b/lycheetide/settings/_checks.py
@@ -1,47 +1,50 @@
-"""Parsers of single values; each says what it expected."""
+"""Parsers of single values.
+
+Each raises ``ValueError`` with a description of the expected value.
+"""
 
 import ipaddress
 import re
 from urllib.parse import urlsplit
 
 _IDENTIFIER = re.compile(r"[a-z0-9][a-z0-9_.-]{0,62}")
-LARGEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def identifier(text):
-    """Read a name of lower-case letters, digits, dots, dashes and underscores."""
+    """Parse a name of lower-case letters, digits, dots, dashes and underscores."""
     if not _IDENTIFIER.fullmatch(text):
         raise ValueError("a name such as 'cork-a-1'")
     return text
 
 
 def address(text):
-    """Read "ip:port".
+    """Parse an address of the form "ip:port".
 
     Examples
     --------
     >>> address("127.0.0.1:8080")
     '127.0.0.1:8080'
     """
-    expected = "an IP number and a port, such as 127.0.0.1:8080"
+    expected = "an IP address and a port, such as 127.0.0.1:8080"
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError:
         raise ValueError(expected) from None
-    if not 0 < number <= LARGEST_PORT:
+    if not 0 < number <= MAX_PORT:
         raise ValueError(expected)
     return text
 
 
 def optional_address(text):
-    """Read an address, or nothing."""
+    """Parse an address; an empty string is allowed."""
     return address(text) if text else ""
 
 
 def address_list(text):
-    """Read addresses with commas between them, or nothing.
+    """Parse a comma-separated list of addresses, which may be empty.
 
     Examples
     --------
@@ -52,7 +55,7 @@
 
 
 def pairs(text):
-    """Read "key:value" pairs with commas between them, or nothing.
+    """Parse a comma-separated list of "key:value" pairs, which may be empty.
 
     Examples
     --------
@@ -61,25 +64,25 @@
     """
     rows = [part.strip().partition(":") for part in text.split(",") if part.strip()]
     if not all(key and value for key, _, value in rows):
-        raise ValueError("pairs such as cork-a:munster, cork-b:munster")
+        raise ValueError("key:value pairs such as cork-a:munster, cork-b:munster")
     return tuple((key, value) for key, _, value in rows)
 
 
-def path_or_empty(text):
-    """Read a path as it stands."""
+def optional_path(text):
+    """Return a path unchanged; it may be empty and is not checked."""
     return text
 
 
 def url(text):
-    """Read the address of an HTTP service."""
+    """Parse the URL of an HTTP service."""
     parts = urlsplit(text)
     if parts.scheme not in {"http", "https"} or not parts.netloc:
         raise ValueError("a URL such as http://10.0.0.1:9000")
     return text.rstrip("/")
 
 
-def between(low, high):
-    """Return a parser of a number of seconds from ``low`` to ``high``."""
+def number_between(low, high):
+    """Return a parser of a number from ``low`` to ``high``, both included."""
 
     def parse(text):
         expected = f"a number from {low:g} to {high:g}"
@@ -94,11 +97,11 @@
     return parse
 
 
-def at_least(low):
-    """Return a parser of a whole number from ``low`` up."""
+def integer_at_least(low):
+    """Return a parser of an integer of at least ``low``."""
 
     def parse(text):
-        expected = f"a whole number of at least {low}"
+        expected = f"an integer of at least {low}"
         try:
             value = int(text)
         except ValueError:
--- a/lycheetide/settings/_findings.py
+++ b/lycheetide/settings/_findings.py
@@ -1,22 +1,23 @@
-"""Faults in a file, each with its place, reported together."""
+"""Findings: errors in a file or configuration with their location."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Finding:
-    """One fault and where it stands.
+    """One error and its location.
 
     Parameters
     ----------
     place : str
-        The file, or the part of a configuration.
+        The file or the source of the configuration.
     section, key : str
-        The section and the key; empty where the fault is the whole section's.
+        The section and the key; the key is empty if the error concerns the whole
+        section.
     line : int
-        Counted from 1; 0 where the key is missing.
+        The line number, counted from 1; 0 if it is unknown or the key is missing.
     came, expected : str
-        What stands there and what should.
+        The actual value and a description of the expected one.
     """
 
     place: str
@@ -27,7 +28,7 @@
     expected: str
 
     def __str__(self):
-        """Give the finding in one line."""
+        """Return the finding as one line of text."""
         return (
             f"{self.place}:{self.line}: [{self.section}] {self.key}: "
             f"got {self.came}, expected {self.expected}"
@@ -35,7 +36,7 @@
 
 
 class SettingsError(ValueError):
-    """One finding, raised in an exception group with all the others."""
+    """An error for one finding; all findings are raised together as a group."""
 
     def __init__(self, finding):
         super().__init__(str(finding))
--- a/lycheetide/settings/_read.py
+++ b/lycheetide/settings/_read.py
@@ -1,4 +1,4 @@
-"""Read the INI file and report all that is wrong with it at once."""
+"""Read the INI file and report all its errors at once."""
 
 import configparser
 import re
@@ -9,14 +9,14 @@
 from lycheetide.settings._schema import FIELDS, Settings
 
 RELAY_SECTION = "relay"
-"""A file that has this section is a relay's."""
+"""A file with this section holds the settings of a relay."""
 
 _SECTION_LINE = re.compile(r"\s*\[(?P<name>[^]]+)\]")
 _KEY_LINE = re.compile(r"\s*(?P<name>[^#;=:\s][^=:]*?)\s*[=:]")
 
 
 def read_settings(path):
-    """Read a node's settings.
+    """Read the settings of a node or relay.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     Returns
     -------
     Settings or RelaySettings
-        The checked settings; a relay's if the file has its section.
+        The validated settings; those of a relay if the file has a relay section.
 
     Raises
     ------
@@ -41,11 +41,11 @@
     except configparser.Error as error:
         line = getattr(error, "lineno", 0) or 0
         finding = Finding(str(path), "", "", line, str(error), "an INI file")
-        raise ExceptionGroup("broken settings", [SettingsError(finding)]) from None
-    lines = _find_lines(text)
+        raise ExceptionGroup("invalid settings", [SettingsError(finding)]) from None
+    lines = _find_line_numbers(text)
     is_relay = parser.has_section(RELAY_SECTION)
     fields = RELAY_FIELDS if is_relay else FIELDS
-    findings = list(_find_unknown(parser, fields, lines, path))
+    findings = list(_find_unknown_keys(parser, fields, lines, path))
     values: dict[str, Any] = {}
     for field in fields:
         _read_field(parser, field, lines, path, values, findings)
@@ -53,13 +53,13 @@
         findings.extend(_find_conflicts(values, lines, path))
     if findings:
         raise ExceptionGroup(
-            "broken settings", [SettingsError(finding) for finding in findings]
+            "invalid settings", [SettingsError(finding) for finding in findings]
         )
     return RelaySettings(**values) if is_relay else Settings(**values)
 
 
-def _find_lines(text):
-    """Map each (section, key) to its line."""
+def _find_line_numbers(text):
+    """Map each (section, key) to its line number; sections have an empty key."""
     lines = {}
     section = ""
     for number, line in enumerate(text.splitlines(), start=1):
@@ -74,8 +74,8 @@
     return lines
 
 
-def _find_unknown(parser, fields, lines, path):
-    """Yield a finding for each key that no field declares."""
+def _find_unknown_keys(parser, fields, lines, path):
+    """Yield a finding for each key that is not a known setting."""
     known = {(field.section, field.key) for field in fields}
     for section in parser.sections():
         for key in parser[section]:
@@ -87,13 +87,13 @@
 
 
 def _read_field(parser, field, lines, path, values, findings):
-    """Put one field's value into ``values`` or a finding into ``findings``."""
+    """Parse one field; add its value to ``values`` or an error to ``findings``."""
     line = lines.get((field.section, field.key), 0)
     text = parser.get(field.section, field.key, fallback=None)
     if text is None:
         if field.required:
             findings.append(
-                Finding(str(path), field.section, field.key, 0, "nothing", "this key")
+                Finding(str(path), field.section, field.key, 0, "nothing", "a value")
             )
         return
     try:
@@ -105,7 +105,7 @@
 
 
 def _find_conflicts(values, lines, path):
-    """Yield findings about settings that don't fit together."""
+    """Yield a finding for each conflict between settings."""
     lease_s = values.get("lease_s", Settings.lease_s)
     interval_s = values.get("heartbeat_interval_s", Settings.heartbeat_interval_s)
     if lease_s < 2 * interval_s:
@@ -118,5 +118,5 @@
         line = lines.get(("listen", "tls_certificate_path"), 0)
         expected = "a certificate and a key, or neither"
         yield Finding(
-            str(path), "listen", "tls_certificate_path", line, "one alone", expected
+            str(path), "listen", "tls_certificate_path", line, "only one", expected
         )
--- a/lycheetide/settings/_relay.py
+++ b/lycheetide/settings/_relay.py
@@ -1,13 +1,13 @@
-"""The settings of a relay: a node in front of replicas that register themselves."""
+"""The settings of a relay: a node whose replicas register themselves."""
 
 from dataclasses import dataclass
 
 from lycheetide.settings._checks import (
     address,
     address_list,
-    at_least,
-    between,
     identifier,
+    integer_at_least,
+    number_between,
     optional_address,
     pairs,
 )
@@ -16,14 +16,15 @@
 
 @dataclass(frozen=True)
 class RelaySettings:
-    """What one relay is told when it starts; fields as in the INI file.
+    """The settings of one relay; the fields are named as in the INI file.
 
     Notes
     -----
-    ``stop_notice_s`` is how long a balancer may go on sending callers after a node
-    said that it isn't ready: two questions, one a second, and the way there. After it
-    a leaving node takes nothing more, and what runs has the rest of ``stop_s``.
-    ``link_mbps`` is how wide the host's link is, 0 where that isn't known.
+    ``stop_notice_s`` is how long a load balancer may keep sending callers after the
+    node reports that it isn't ready: two readiness probes at one per second, plus the
+    network delay. After that, a stopping node accepts no further requests, and running
+    requests get the rest of ``stop_s``.
+    ``link_mbps`` is the bandwidth of the host's network link; 0 if it is unknown.
     """
 
     name: str
@@ -53,7 +54,7 @@
 
     @property
     def seed_hosts(self):
-        """The hosts of the seeds."""
+        """The seed addresses without their ports."""
         return [seed.rpartition(":")[0] for seed in self.seed_addresses]
 
 
@@ -68,18 +69,18 @@
     Field("relay", "metrics_address", optional_address),
     Field("relay", "seed_addresses", address_list),
     Field("relay", "domain_regions", pairs),
-    Field("relay", "link_mbps", between(0.0, 1e6)),
-    Field("relay", "idle_s", between(0.5, 3600.0)),
-    Field("relay", "operator_wait_s", between(0.0, 30.0)),
-    Field("relay", "registry_interval_s", between(0.05, 60.0)),
-    Field("relay", "out_of_touch_s", between(1.0, 3600.0)),
-    Field("retries", "retry_ratio", between(0.0, 10.0)),
-    Field("retries", "retry_extra", between(0.0, 1e6)),
-    Field("retries", "retry_window_s", between(0.1, 3600.0)),
-    Field("stop", "stop_s", between(1.0, 3600.0)),
-    Field("stop", "stop_notice_s", between(0.0, 600.0)),
+    Field("relay", "link_mbps", number_between(0.0, 1e6)),
+    Field("relay", "idle_s", number_between(0.5, 3600.0)),
+    Field("relay", "operator_wait_s", number_between(0.0, 30.0)),
+    Field("relay", "registry_interval_s", number_between(0.05, 60.0)),
+    Field("relay", "out_of_touch_s", number_between(1.0, 3600.0)),
+    Field("retries", "retry_ratio", number_between(0.0, 10.0)),
+    Field("retries", "retry_extra", number_between(0.0, 1e6)),
+    Field("retries", "retry_window_s", number_between(0.1, 3600.0)),
+    Field("stop", "stop_s", number_between(1.0, 3600.0)),
+    Field("stop", "stop_notice_s", number_between(0.0, 600.0)),
     Field("metrics", "statsd_address", optional_address),
     Field("metrics", "statsd_prefix", identifier),
     Field("logs", "log_level", level),
-    Field("logs", "log_lines_per_s", at_least(1)),
+    Field("logs", "log_lines_per_s", integer_at_least(1)),
 )
--- a/lycheetide/settings/_schema.py
+++ b/lycheetide/settings/_schema.py
@@ -1,4 +1,4 @@
-"""The declared place of every setting: its type, default and bounds."""
+"""The settings of a node: section, key, type, default and bounds."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,18 +6,18 @@
 
 from lycheetide.settings._checks import (
     address,
-    at_least,
-    between,
     identifier,
+    integer_at_least,
+    number_between,
     optional_address,
-    path_or_empty,
+    optional_path,
     url,
 )
 
 
 @dataclass(frozen=True)
 class Settings:
-    """What one node is told when it starts; fields as in the INI file."""
+    """The settings of one node; the fields are named as in the INI file."""
 
     name: str
     region: str
@@ -55,16 +55,17 @@
 
 @dataclass(frozen=True)
 class Field:
-    """How one setting is read.
+    """How one setting is read from the file.
 
     Parameters
     ----------
     section, key : str
-        Where it stands in the file.
+        The section and key in the file.
     parse : callable
-        Takes the text; raises ``ValueError`` with what was expected.
+        Converts the text; raises ``ValueError`` with a description of the expected
+        value.
     required : bool, default=False
-        Whether the file must have it.
+        Whether the file must contain the key.
     """
 
     section: str
@@ -74,7 +75,7 @@
 
 
 def level(text):
-    """Read the name of a log level."""
+    """Parse the name of a log level."""
     if text not in {"DEBUG", "INFO", "WARNING", "ERROR"}:
         raise ValueError("DEBUG, INFO, WARNING or ERROR")
     return text
@@ -87,30 +88,30 @@
     Field("listen", "caller_address", address, required=True),
     Field("listen", "peer_address", address, required=True),
     Field("listen", "operator_address", address, required=True),
-    Field("listen", "tls_certificate_path", path_or_empty),
-    Field("listen", "tls_key_path", path_or_empty),
+    Field("listen", "tls_certificate_path", optional_path),
+    Field("listen", "tls_key_path", optional_path),
     Field("platform", "log_url", url, required=True),
     Field("platform", "hosts_url", url, required=True),
     Field("metrics", "statsd_address", optional_address),
     Field("metrics", "statsd_prefix", identifier),
     Field("logs", "log_level", level),
-    Field("membership", "heartbeat_interval_s", between(0.05, 60.0)),
-    Field("membership", "heartbeat_fanout", at_least(1)),
-    Field("membership", "lease_s", between(0.2, 120.0)),
-    Field("membership", "suspect_s", between(0.2, 120.0)),
-    Field("membership", "log_wait_s", between(0.0, 10.0)),
-    Field("permits", "permit_use_s", between(0.1, 60.0)),
-    Field("permits", "permit_renewal_s", between(0.05, 60.0)),
-    Field("permits", "permit_lost_s", between(0.2, 120.0)),
-    Field("upstreams", "report_interval_s", between(0.05, 60.0)),
-    Field("upstreams", "report_stale_s", between(0.1, 120.0)),
-    Field("upstreams", "reclaim_interval_s", between(0.1, 60.0)),
-    Field("upstreams", "reclaim_grace_s", between(0.1, 120.0)),
-    Field("upstreams", "silence_s", between(0.1, 600.0)),
-    Field("upstreams", "connect_s", between(0.05, 60.0)),
-    Field("limits", "max_body_bytes", at_least(1024)),
-    Field("limits", "key_record_bytes", at_least(256)),
-    Field("limits", "snapshot_records", at_least(1)),
-    Field("stop", "stop_notice_s", between(0.0, 600.0)),
-    Field("stop", "stop_longest_s", between(0.1, 3600.0)),
+    Field("membership", "heartbeat_interval_s", number_between(0.05, 60.0)),
+    Field("membership", "heartbeat_fanout", integer_at_least(1)),
+    Field("membership", "lease_s", number_between(0.2, 120.0)),
+    Field("membership", "suspect_s", number_between(0.2, 120.0)),
+    Field("membership", "log_wait_s", number_between(0.0, 10.0)),
+    Field("permits", "permit_use_s", number_between(0.1, 60.0)),
+    Field("permits", "permit_renewal_s", number_between(0.05, 60.0)),
+    Field("permits", "permit_lost_s", number_between(0.2, 120.0)),
+    Field("upstreams", "report_interval_s", number_between(0.05, 60.0)),
+    Field("upstreams", "report_stale_s", number_between(0.1, 120.0)),
+    Field("upstreams", "reclaim_interval_s", number_between(0.1, 60.0)),
+    Field("upstreams", "reclaim_grace_s", number_between(0.1, 120.0)),
+    Field("upstreams", "silence_s", number_between(0.1, 600.0)),
+    Field("upstreams", "connect_s", number_between(0.05, 60.0)),
+    Field("limits", "max_body_bytes", integer_at_least(1024)),
+    Field("limits", "key_record_bytes", integer_at_least(256)),
+    Field("limits", "snapshot_records", integer_at_least(1)),
+    Field("stop", "stop_notice_s", number_between(0.0, 600.0)),
+    Field("stop", "stop_longest_s", number_between(0.1, 3600.0)),
 )
--- a/lycheetide/settings/tests/__init__.py
+++ b/lycheetide/settings/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this subpackage."""
+"""Tests for reading settings."""
--- a/lycheetide/settings/tests/test_read.py
+++ b/lycheetide/settings/tests/test_read.py
@@ -1,4 +1,4 @@
-"""Whatever stands in a settings file, the answer is settings or findings."""
+"""Any settings file gives either settings or findings, never another error."""
 
 import hypothesis.strategies as st
 import pytest
@@ -19,9 +19,9 @@
 
 @given(st.lists(lines, max_size=20))
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_any_text_gives_settings_or_findings(tmp_path_factory, rows):
+def test_arbitrary_text_gives_settings_or_findings(tmp_path_factory, rows):
     path = tmp_path_factory.getbasetemp() / "fuzz.ini"
     path.write_text("\n".join(rows), encoding="utf-8")
-    with pytest.raises(ExceptionGroup) as caught:
+    with pytest.raises(ExceptionGroup) as raised:
         read_settings(path)
-    assert all(isinstance(error, SettingsError) for error in caught.value.exceptions)
+    assert all(isinstance(error, SettingsError) for error in raised.value.exceptions)
