--- a/lycheetide/upstreams/__init__.py
+++ b/lycheetide/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Speak to model engines and plain services over HTTP."""
+"""Calls to upstreams, which are model engines and services, over HTTP."""
 
 from lycheetide.upstreams._client import make_http_client
 from lycheetide.upstreams._engine import (
--- a/lycheetide/upstreams/_client.py
+++ b/lycheetide/upstreams/_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client that all of a node's calls share."""
+"""The HTTP client shared by all upstream calls of a node."""
 
 from contextlib import contextmanager
 
@@ -13,7 +13,7 @@
 )
 
 NEVER_RETRY = 0
-BROKEN = (
+CONNECTION_ERRORS = (
     httpx.HTTPError,
     httpx.StreamError,
     anyio.BrokenResourceError,
@@ -21,21 +21,33 @@
     anyio.EndOfStream,
     OSError,
 )
-"""What a broken connection may raise; the HTTP library lets some of anyio's through."""
+"""What a broken connection may raise; httpx passes some of anyio's errors through."""
 
-LONGEST_KEEP_ALIVE_S = 30.0
+KEEP_ALIVE_EXPIRY_S = 30.0
 
 
-def make_http_client(*, connect_s, largest_connections=2000):
-    """Return a client that never sends a request a second time.
+def make_http_client(*, connect_s, connection_limit=2000):
+    """Return an HTTP client that never resends a request.
 
-    A transport that tries again by itself would run a booking twice without anybody
-    knowing; the only layer that repeats work is the entry node's own.
+    A transport that retried by itself could run a booking twice without notice. Only
+    the entry node retries requests.
+
+    Parameters
+    ----------
+    connect_s : float
+        The timeout for opening a connection.
+    connection_limit : int, default=2000
+        The maximum number of open connections.
+
+    Returns
+    -------
+    httpx.AsyncClient
+        The client.
     """
     limits = httpx.Limits(
-        max_connections=largest_connections,
+        max_connections=connection_limit,
         max_keepalive_connections=200,
-        keepalive_expiry=LONGEST_KEEP_ALIVE_S,
+        keepalive_expiry=KEEP_ALIVE_EXPIRY_S,
     )
     transport = httpx.AsyncHTTPTransport(
         retries=NEVER_RETRY, limits=limits, trust_env=False
@@ -46,26 +58,33 @@
 
 @contextmanager
 def translate_errors():
-    """Turn the library's errors into what may have happened at the upstream."""
+    """Translate HTTP library errors into ``UpstreamError`` subclasses."""
     try:
         yield
     except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
         raise UpstreamUnreached(repr(error)) from error
     except httpx.ReadTimeout as error:
         raise UpstreamSilent(repr(error)) from error
-    except BROKEN as error:
+    except CONNECTION_ERRORS as error:
         raise UpstreamBroke(repr(error)) from error
 
 
-def check_started(response, body):
-    """Raise if the upstream says that it refused, or answered with an error.
+def raise_for_error(response, body):
+    """Raise an error if the response has an error status.
 
     Parameters
     ----------
     response : httpx.Response
-        The answer; its status is looked at.
+        The response, of which the status is used.
     body : object
         The decoded body.
+
+    Raises
+    ------
+    UpstreamRefused
+        If the body says that the request was not started.
+    UpstreamBroke
+        For any other error status.
     """
     if response.status_code < 400:
         return
--- a/lycheetide/upstreams/_engine.py
+++ b/lycheetide/upstreams/_engine.py
@@ -1,4 +1,4 @@
-"""The calls to a model engine."""
+"""Calls to model engines."""
 
 from dataclasses import dataclass
 
@@ -7,38 +7,38 @@
 
 from lycheetide.scheduling import HeldMemory, Report
 from lycheetide.streams import parse_chunk
-from lycheetide.upstreams._client import check_started, translate_errors
+from lycheetide.upstreams._client import raise_for_error, translate_errors
 from lycheetide.upstreams._errors import UpstreamBroke
 
-CONTROL_S = 2.0
-UNLIMITED = httpx.Timeout(CONTROL_S, read=None, write=None)
-"""For calls whose silence their caller watches."""
-DATA = "data: "
+CONTROL_TIMEOUT_S = 2.0
+NO_READ_TIMEOUT = httpx.Timeout(CONTROL_TIMEOUT_S, read=None, write=None)
+"""For calls whose maximum silence is enforced by the caller."""
+EVENT_DATA_PREFIX = "data: "
 
 
 @dataclass(frozen=True)
 class EngineCall:
-    """What an engine is asked.
+    """A completion request to an engine.
 
     Parameters
     ----------
     request_id, attempt_id : str
-        Whose answer it is; the attempt's id is never used twice.
+        The ids of the request and of the attempt; each attempt has an id of its own.
     prompt : str
-        The prompt, or the last segment of a spanning one.
+        The prompt, or the last segment of a prompt that spans several engines.
     max_tokens : int
-        The longest answer.
+        The maximum length of the answer.
     priority : int
-        0 is read first.
+        The priority of the prefill; 0 is the highest.
     prefix_key : str
-        The key of the engine's prefix cache; it names the customer as well, so the
-        time to the first token tells nobody what a rival has asked.
+        The key for the engine's prefix cache. It includes the customer, so that the
+        time to the first token does not reveal what another customer has sent.
     resume_from : int
-        The first token that is still wanted.
+        The index of the first token to send.
     holding_id : str or None
-        Memory reserved before.
+        The id of memory reserved before, if any.
     segments : tuple of str
-        Handles of the segments that other engines hold.
+        Handles of the prompt segments held by other engines.
     """
 
     request_id: str
@@ -52,8 +52,8 @@
     segments: tuple[str, ...] = ()
 
 
-async def _post(http, url, body, *, timeout=CONTROL_S):
-    """Send a small order and return the decoded answer."""
+async def _post_json(http, url, body, *, timeout=CONTROL_TIMEOUT_S):
+    """Send a JSON request and return the decoded response."""
     with translate_errors():
         response = await http.post(
             url,
@@ -61,22 +61,22 @@
             headers={"content-type": "application/json"},
             timeout=timeout,
         )
-    answer = _decode(response.content)
-    check_started(response, answer)
+    answer = _decode_json(response.content)
+    raise_for_error(response, answer)
     return answer
 
 
-async def _get(http, url):
-    """Fetch and decode a small answer."""
+async def _get_json(http, url):
+    """Fetch and decode a JSON response."""
     with translate_errors():
-        response = await http.get(url, timeout=CONTROL_S)
-    answer = _decode(response.content)
-    check_started(response, answer)
+        response = await http.get(url, timeout=CONTROL_TIMEOUT_S)
+    answer = _decode_json(response.content)
+    raise_for_error(response, answer)
     return answer
 
 
-def _decode(content):
-    """Decode JSON, or raise what a broken answer raises."""
+def _decode_json(content):
+    """Decode JSON; raise ``UpstreamBroke`` if it is malformed."""
     try:
         return msgspec.json.decode(content)
     except msgspec.MsgspecError as error:
@@ -84,11 +84,11 @@
 
 
 async def fetch_report(http, upstream):
-    """Return an upstream's load report."""
-    answer = await _get(http, f"{upstream.url}/load")
-    known = {field: answer[field] for field in _REPORT_FIELDS if field in answer}
+    """Return the load report of an engine."""
+    answer = await _get_json(http, f"{upstream.url}/load")
+    known_fields = {field: answer[field] for field in _REPORT_FIELDS if field in answer}
     try:
-        return msgspec.convert(known, Report)
+        return msgspec.convert(known_fields, Report)
     except msgspec.ValidationError as error:
         raise UpstreamBroke(str(error)) from error
 
@@ -104,69 +104,77 @@
 
 
 async def fetch_holdings(http, upstream):
-    """Return all that an engine holds memory for."""
+    """Return all memory holdings of an engine."""
     _, holdings = await fetch_life(http, upstream)
     return holdings
 
 
 async def fetch_life(http, upstream):
-    """Return the life that an engine is in, and all that it holds memory for."""
-    answer = await _get(http, f"{upstream.url}/held")
+    """Return the boot id of an engine and all its memory holdings.
+
+    The boot id identifies the run of the engine process since its last start.
+    """
+    answer = await _get_json(http, f"{upstream.url}/held")
     return answer["boot_id"], msgspec.convert(answer["holdings"], list[HeldMemory])
 
 
 async def release_holding(http, upstream, holding_id):
-    """Let an engine free memory; the work that used it stops."""
-    await _post(http, f"{upstream.url}/release", {"holding_id": holding_id})
+    """Release memory of an engine; the engine stops the work that used it."""
+    await _post_json(http, f"{upstream.url}/release", {"holding_id": holding_id})
 
 
 async def reserve_memory(http, upstream, *, request_id, tokens, silence):
-    """Reserve memory and return its holding id."""
+    """Reserve memory on an engine and return the holding id."""
     body = {"request_id": request_id, "tokens": tokens}
-    silence.begin(CONTROL_S)
-    answer = await _post(http, f"{upstream.url}/reserve", body, timeout=UNLIMITED)
+    silence.begin(CONTROL_TIMEOUT_S)
+    answer = await _post_json(
+        http, f"{upstream.url}/reserve", body, timeout=NO_READ_TIMEOUT
+    )
     silence.end()
     return answer["holding_id"]
 
 
 async def send_segment(http, upstream, *, holding_id, prompt, priority):
-    """Have one engine read its part of a spanning prompt; return the handle."""
+    """Let an engine prefill one segment of a prompt that spans several engines.
+
+    Returns the handle of the segment.
+    """
     body = {"holding_id": holding_id, "prompt": prompt, "priority": priority}
     url = f"{upstream.url}/segment"
-    answer = await _post(http, url, body, timeout=UNLIMITED)
+    answer = await _post_json(http, url, body, timeout=NO_READ_TIMEOUT)
     return answer["handle"]
 
 
 async def stream_answer(
     http, upstream, call, *, first_s, between_s, silence, on_accepted
 ):
-    """Send a prompt and yield the answer's chunks.
+    """Send a prompt and yield the chunks of the answer.
 
     Parameters
     ----------
     http : httpx.AsyncClient
-        The connections.
+        The HTTP client.
     upstream : Upstream
         The engine.
     call : EngineCall
-        What it is asked.
+        The request to send.
     first_s, between_s : float
-        How long it may be silent before the first token and between tokens.
+        The maximum silence before the first token and between tokens.
     silence : Silence
-        Told of each wait.
+        Records when the call waits for the engine.
     on_accepted : callable
-        Called with the holding id and the boot id when the engine has taken the
+        Called with the holding id and the boot id when the engine has accepted the
         request.
 
     Yields
     ------
     Chunk
-        Unchecked, as they come.
+        The chunks as received, not validated.
 
     Raises
     ------
     UpstreamError
-        By what may have happened.
+        If the call fails; the subclass tells whether it may have been started.
     """
     body = msgspec.json.encode(call)
     timeout = httpx.Timeout(
@@ -186,23 +194,23 @@
         silence.begin(limit_s)
         try:
             if response.status_code >= 400:
-                check_started(response, _decode(await response.aread()))
+                raise_for_error(response, _decode_json(await response.aread()))
             headers = response.headers
             on_accepted(headers.get("x-holding-id", ""), headers.get("x-boot-id", ""))
             async for line in response.aiter_lines():
                 silence.end()
-                if line.startswith(DATA):
+                if line.startswith(EVENT_DATA_PREFIX):
                     limit_s = between_s
-                    yield _parse(line)
+                    yield _parse_event(line)
                 silence.begin(limit_s)
             silence.end()
         finally:
             await response.aclose()
 
 
-def _parse(line):
-    """Read one event's chunk."""
+def _parse_event(line):
+    """Parse the chunk in the data line of an event."""
     try:
-        return parse_chunk(line[len(DATA) :])
+        return parse_chunk(line[len(EVENT_DATA_PREFIX) :])
     except msgspec.MsgspecError as error:
         raise UpstreamBroke(f"malformed chunk: {error}") from error
--- a/lycheetide/upstreams/_errors.py
+++ b/lycheetide/upstreams/_errors.py
@@ -1,27 +1,36 @@
-"""What can go wrong with a call to an upstream, by what may have happened there."""
+"""Errors of upstream calls, by whether the request may have been started."""
 
 
 class UpstreamError(Exception):
-    """A call that did not end with its answer."""
+    """A failed call to an upstream.
+
+    Attributes
+    ----------
+    started_maybe : bool
+        Whether the upstream may have started the request.
+    """
 
     started_maybe = True
 
 
 class UpstreamUnreached(UpstreamError):
-    """No connection came about, so no byte of the request has left."""
+    """No connection could be opened, so nothing of the request was sent."""
 
     started_maybe = False
 
 
 class UpstreamRefused(UpstreamError):
-    """The upstream itself said that it has not started the request."""
+    """The upstream reported that it did not start the request."""
 
     started_maybe = False
 
 
 class UpstreamBroke(UpstreamError):
-    """The connection or the answer broke after the request may have left."""
+    """The connection broke, or the response was malformed or reported an error.
+
+    The request may have been sent, and the upstream may have run it.
+    """
 
 
 class UpstreamSilent(UpstreamError):
-    """The upstream took the request and then said nothing for too long."""
+    """The upstream sent nothing for too long after it got the request."""
--- a/lycheetide/upstreams/_service.py
+++ b/lycheetide/upstreams/_service.py
@@ -1,4 +1,4 @@
-"""The calls to a plain service."""
+"""Calls to services, which are upstreams other than model engines."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,26 +6,26 @@
 import httpx
 import msgspec
 
-from lycheetide.upstreams._client import check_started, translate_errors
+from lycheetide.upstreams._client import raise_for_error, translate_errors
 from lycheetide.upstreams._errors import UpstreamBroke
 
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """What a plain service is asked.
+    """A call to a service.
 
     Parameters
     ----------
     request_id : str
-        Whose answer it is.
+        The id of the caller's request.
     operation : str
-        The operation.
+        The name of the operation.
     body : bytes
-        The caller's body as it came.
+        The caller's request body, unchanged.
     key : str
         The idempotency key; empty for idempotent operations.
     fencing_number : int
-        Rises with each claim; for services that check it.
+        A number that increases with each claim, for services that check it.
     """
 
     request_id: str
@@ -37,30 +37,35 @@
 
 @dataclass(frozen=True)
 class ServiceAnswer:
-    """What it answered."""
+    """The response of a service."""
 
     status: int
     body: Any
 
 
 async def call_service(http, upstream, call, *, timeout_s):
-    """Send one call and return the answer.
+    """Send one call and return the response.
 
     Parameters
     ----------
     http : httpx.AsyncClient
-        The connections.
+        The HTTP client.
     upstream : Upstream
-        The service.
+        The service replica.
     call : ServiceCall
-        What it is asked.
+        The call to send.
     timeout_s : float or None
-        How long it may be silent; None where the caller watches that.
+        The maximum silence; None if the caller enforces its own limit.
+
+    Returns
+    -------
+    ServiceAnswer
+        The status and the decoded body.
 
     Raises
     ------
     UpstreamError
-        By what may have happened.
+        If the call fails; the subclass tells whether it may have been started.
     """
     headers = {
         "content-type": "application/json",
@@ -82,10 +87,10 @@
     except msgspec.MsgspecError as error:
         raise UpstreamBroke(f"not JSON: {error}") from error
     if response.status_code >= 500 or _is_refusal(body):
-        check_started(response, body)
+        raise_for_error(response, body)
     return ServiceAnswer(response.status_code, body)
 
 
 def _is_refusal(body):
-    """Tell whether the service says that it has not started."""
+    """Return whether the body says that the call was not started."""
     return isinstance(body, dict) and body.get("started") is False
--- a/lycheetide/upstreams/_silence.py
+++ b/lycheetide/upstreams/_silence.py
@@ -1,4 +1,4 @@
-"""End a silent call, but only when its request needs it no more."""
+"""Cancel a call to a silent upstream, but only once the call is no longer needed."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -10,114 +10,126 @@
 
 
 class Silence:
-    """Tells whether an upstream has been silent for too long while it is waited for.
+    """Tracks how long a call has been waiting for its upstream.
 
-    Whoever waits calls ``begin`` before and ``end`` after. Between the two, and only
-    there, the call may be left.
+    The call invokes ``begin`` before each wait and ``end`` after it. It can be
+    abandoned only between the two.
+
+    Attributes
+    ----------
+    is_abandoned : bool
+        Whether the call was given up because it was silent and no longer needed.
     """
 
     def __init__(self):
-        self._over_s = math.inf
-        self._wait = anyio.CancelScope()
-        self._seek = anyio.CancelScope()
-        self.is_left = False
+        self._deadline_s = math.inf
+        self._limit_scope = anyio.CancelScope()
+        self._unneeded_scope = anyio.CancelScope()
+        self.is_abandoned = False
 
     def begin(self, limit_s):
-        """Begin to wait for an upstream.
+        """Start a wait for the upstream.
 
         Parameters
         ----------
         limit_s : float
-            How long it may be silent before a successor is sought.
+            The silence after which a replacement attempt may take over.
         """
-        self._over_s = self._wait.deadline = anyio.current_time() + limit_s
+        self._deadline_s = self._limit_scope.deadline = anyio.current_time() + limit_s
 
     def end(self):
-        """Note that the upstream has spoken; a successor is sought no more.
+        """End a wait because the upstream has sent something.
+
+        A replacement attempt is no longer looked for.
 
         Raises
         ------
         UpstreamSilent
-            If one has taken over already. What came too late is dropped here: it would
-            be lost at the next await, in which this call is cancelled.
+            If the call was abandoned already. Data that arrives too late is dropped
+            here; otherwise it would be counted and then lost at the next await, where
+            this call is cancelled.
         """
-        if self.is_left:
-            raise UpstreamSilent("it spoke too late")
-        self._over_s = self._wait.deadline = math.inf
-        self._seek.cancel()
+        if self.is_abandoned:
+            raise UpstreamSilent("the upstream answered after the call was abandoned")
+        self._deadline_s = self._limit_scope.deadline = math.inf
+        self._unneeded_scope.cancel()
 
     def is_over(self, *, now_s):
-        """Tell whether the silence has lasted too long."""
-        return now_s >= self._over_s
+        """Return whether the present wait has exceeded its limit."""
+        return now_s >= self._deadline_s
+
+    async def leave(self, wait_until_unneeded):
+        """Run ``wait_until_unneeded`` in each wait that exceeds its limit.
 
-    async def leave(self, seek):
-        """Run ``seek`` during each silence that is too long, until it ends.
+        It is cancelled when the upstream sends something. This method returns once
+        ``wait_until_unneeded`` has returned; the call is then abandoned.
 
         Parameters
         ----------
-        seek : callable
-            A coroutine function that ends when the call is needed no more.
+        wait_until_unneeded : callable
+            A coroutine function that returns when the call is no longer needed.
         """
-        while not self.is_left:
-            with anyio.CancelScope(deadline=self._over_s) as self._wait:
+        while not self.is_abandoned:
+            with anyio.CancelScope(deadline=self._deadline_s) as self._limit_scope:
                 await anyio.sleep_forever()
             if not self.is_over(now_s=anyio.current_time()):
                 continue
-            with anyio.CancelScope() as self._seek:
-                await seek()
-                self.is_left = True
+            with anyio.CancelScope() as self._unneeded_scope:
+                await wait_until_unneeded()
+                self.is_abandoned = True
 
 
 async def run_watched(
     work: Callable[[], Awaitable[Any]],
     silence: Silence,
-    seek: Callable[[], Awaitable[None]],
+    wait_until_unneeded: Callable[[], Awaitable[None]],
 ):
-    """Run a call, and end it when it is silent and needed no more.
+    """Run a call and cancel it when its upstream is silent and it is no longer needed.
 
-    That is when it has a successor, or nobody waits for it. A call that was ended
-    sooner would be lost where no other one may follow, although its upstream might
-    only be busy and answer in time.
+    A call is no longer needed when a replacement attempt takes over or when nobody
+    waits for its result. Cancelling it sooner would lose the request if no replacement
+    is possible, although the upstream might just be busy and answer in time.
 
     Parameters
     ----------
     work : callable
         A coroutine function that makes the call.
     silence : Silence
-        What ``work`` tells of its waiting.
-    seek : callable
-        A coroutine function that ends when the call is needed no more. Before that it
-        looks whether the silence still lasts, and awaits nothing after that.
+        The waits of ``work``, which calls ``begin`` and ``end`` on it.
+    wait_until_unneeded : callable
+        A coroutine function that returns when the call is no longer needed. Before it
+        returns, it must check that the silence still lasts, and it must not await
+        anything after that check.
 
     Returns
     -------
     object
-        What ``work`` returned.
+        The result of ``work``.
 
     Raises
     ------
     UpstreamSilent
-        If it was ended.
+        If the call was cancelled.
     """
     result: Any = None
     error: Exception | None = None
     async with anyio.create_task_group() as group:
 
         async def watch():
-            await silence.leave(seek)
+            await silence.leave(wait_until_unneeded)
             group.cancel_scope.cancel()
 
         group.start_soon(watch)
         try:
             result = await work()
-        except Exception as caught:
-            error = caught
-        # A deadline that passes while the watch ends would take the answer away again,
-        # and its request would look as if it had never been sent.
+        except Exception as exception:
+            error = exception
+        # Without the shield, a deadline that passes while the watch task ends would
+        # discard the result, and the request would look as if it had never been sent.
         group.cancel_scope.shield = True
         group.cancel_scope.cancel()
-    if silence.is_left:
-        raise UpstreamSilent("it said nothing for too long")
+    if silence.is_abandoned:
+        raise UpstreamSilent("the upstream sent nothing for too long")
     if error is not None:
         raise error
     return result
--- a/lycheetide/upstreams/tests/__init__.py
+++ b/lycheetide/upstreams/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this subpackage."""
+"""Tests for calls to upstreams."""
--- a/lycheetide/upstreams/tests/test_client.py
+++ b/lycheetide/upstreams/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams are sent once, and errors say what may have happened."""
+"""Calls are sent once, and errors tell whether the call may have been started."""
 
 import anyio
 import pytest
@@ -19,9 +19,9 @@
 
 
 def run_call(answer, *, requests, listens=True):
-    """Call a server that reads one request and sends ``answer`` or nothing.
+    """Call a server that reads one request and sends ``answer``, or nothing if None.
 
-    ``requests`` gets what the server received.
+    The data that the server receives is appended to ``requests``.
     """
     port = find_port()
 
@@ -76,22 +76,22 @@
         (make_answer(503, REFUSAL), UpstreamRefused, False),
     ],
 )
-def test_a_broken_call_is_sent_once_and_told_by_what_may_have_happened(
+def test_failed_call_is_sent_once_and_error_tells_whether_it_may_have_started(
     answer, error, started_maybe
 ):
-    """The service takes a call and hangs up, is silent, breaks or refuses.
+    """The service hangs up, is silent, sends a broken response or refuses the call.
 
-    A transport that sent it again would book twice; an error that said "not started"
-    would make the caller book twice.
+    A transport that resent the call would book twice. An error that wrongly said "not
+    started" would make the caller book twice.
     """
     requests: list[bytes] = []
-    with pytest.raises(error) as caught:
+    with pytest.raises(error) as raised:
         run_call(answer, requests=requests)
-    assert caught.value.started_maybe is started_maybe
+    assert raised.value.started_maybe is started_maybe
     assert len(requests) == 1
 
 
-def test_a_service_that_does_not_listen_was_never_reached():
-    with pytest.raises(UpstreamUnreached) as caught:
+def test_service_that_does_not_listen_is_reported_as_unreached():
+    with pytest.raises(UpstreamUnreached) as raised:
         run_call(b"", requests=[], listens=False)
-    assert caught.value.started_maybe is False
+    assert raised.value.started_maybe is False
--- a/lycheetide/upstreams/tests/test_silence.py
+++ b/lycheetide/upstreams/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""A silent call ends only when its successor is there, and loses nothing by that."""
+"""A silent call is cancelled only when a replacement takes over, without data loss."""
 
 import anyio
 import anyio.lowlevel
@@ -16,8 +16,8 @@
     return "asyncio"
 
 
-async def test_a_call_without_a_successor_outlasts_its_silence():
-    """Nobody can take the call over, and its upstream answers late."""
+async def test_silent_call_without_replacement_continues():
+    """No replacement is available, and the upstream answers late."""
     silence = Silence()
 
     async def work():
@@ -29,25 +29,25 @@
     assert await run_watched(work, silence, anyio.sleep_forever) == "late"
 
 
-async def test_a_call_with_a_successor_is_ended():
-    """An upstream is gone for good; its caller must not wait for the deadline."""
+async def test_silent_call_with_replacement_is_cancelled():
+    """The upstream is gone; the caller must not have to wait for its deadline."""
     silence = Silence()
 
     async def work():
         silence.begin(LIMIT_S)
         await anyio.sleep_forever()
 
-    async def seek():
+    async def wait_until_unneeded():
         await anyio.sleep(LIMIT_S)
 
     with anyio.fail_after(40 * LIMIT_S), pytest.raises(UpstreamSilent):
-        await run_watched(work, silence, seek)
+        await run_watched(work, silence, wait_until_unneeded)
 
 
-async def test_an_upstream_that_speaks_again_keeps_its_call():
-    """The successor is sought while the upstream goes on; each silence seeks anew."""
+async def test_call_continues_when_upstream_resumes():
+    """The search for a replacement is cancelled, and starts anew at each silence."""
     silence = Silence()
-    sought = []
+    searches = []
 
     async def work():
         for _ in range(3):
@@ -56,16 +56,16 @@
             silence.end()
         return "whole"
 
-    async def seek():
-        sought.append(True)
+    async def wait_until_unneeded():
+        searches.append(True)
         await anyio.sleep(10 * LIMIT_S)
 
-    assert await run_watched(work, silence, seek) == "whole"
-    assert len(sought) == 3
+    assert await run_watched(work, silence, wait_until_unneeded) == "whole"
+    assert len(searches) == 3
 
 
-async def test_a_caller_that_reads_slowly_is_no_silence():
-    """An answer's reader is blocked by its caller; the upstream owes nothing."""
+async def test_slow_reader_does_not_count_as_silence():
+    """The caller reads slowly and blocks the call; the upstream is not at fault."""
     silence = Silence()
 
     async def work():
@@ -77,10 +77,11 @@
     assert await run_watched(work, silence, anyio.lowlevel.checkpoint) == "whole"
 
 
-async def test_what_comes_after_the_call_was_left_is_dropped_before_it_is_counted():
-    """An answer's next part comes in the same moment as the successor.
+async def test_data_received_after_abandonment_is_dropped_before_it_is_counted():
+    """The next part of an answer arrives at the same moment as the replacement.
 
-    Were it counted and then lost at the next await, the caller's answer had a gap.
+    If it were counted and then lost at the next await, the caller's answer would have
+    a gap.
     """
     silence = Silence()
     arrival = anyio.Event()
@@ -93,16 +94,16 @@
         counted.append(True)
         await anyio.lowlevel.checkpoint()
 
-    async def seek():
+    async def wait_until_unneeded():
         arrival.set()
 
     with pytest.raises(UpstreamSilent):
-        await run_watched(work, silence, seek)
+        await run_watched(work, silence, wait_until_unneeded)
     assert counted == []
 
 
-async def test_a_calls_error_is_raised_as_it_is():
-    """An error within the watched call must not come as a group of errors."""
+async def test_error_of_a_call_is_raised_unchanged():
+    """An error in the call must not be wrapped in an exception group."""
 
     async def work():
         raise ValueError("broken")
@@ -111,10 +112,10 @@
         await run_watched(work, Silence(), anyio.sleep_forever)
 
 
-async def test_an_answer_that_came_is_not_lost_to_a_deadline_in_the_same_moment():
-    """A caller's deadline passes while the watch over a whole answer is ended.
+async def test_result_is_kept_when_the_deadline_passes_at_the_same_moment():
+    """The deadline passes after the call is complete, while the watch task ends.
 
-    The caller would be told "not run" after the last token of its answer.
+    Losing the result would report "not run" after the last token of the answer.
     """
     result = None
     with anyio.CancelScope() as deadline:
