--- a/lycheetide/httpclient/__init__.py
+++ b/lycheetide/httpclient/__init__.py
@@ -1,16 +1,17 @@
-"""HTTP/1.1 towards replicas, peers and the store, with evidence of what was sent.
+"""HTTP/1.1 client for replicas, peers and the store that reports what was sent.
 
-``h11`` parses and writes. ``httpx`` hides three things that the promises rest on:
-whether a byte of a request was written, whether bytes came behind a complete answer,
-and whether an answer without a length ended or broke off.
+Messages are parsed and serialized by ``h11``. ``httpx`` hides three facts on which the
+guarantees to callers depend: whether any byte of a request was written, whether bytes
+followed a complete response, and whether a response without a length ended properly
+or was cut off.
 """
 
 from lycheetide.httpclient._channel import (
     Channel,
     ChannelBroken,
     ConnectFailed,
-    Head,
     Outgoing,
+    ResponseHead,
 )
 from lycheetide.httpclient._pool import ChannelPool, count_kept
 
@@ -19,7 +20,7 @@
     "ChannelBroken",
     "ChannelPool",
     "ConnectFailed",
-    "Head",
     "Outgoing",
+    "ResponseHead",
     "count_kept",
 ]
--- a/lycheetide/httpclient/_channel.py
+++ b/lycheetide/httpclient/_channel.py
@@ -1,4 +1,4 @@
-"""One connection that carries one request at a time."""
+"""An HTTP/1.1 connection that carries one request at a time."""
 
 import re
 import select
@@ -9,34 +9,34 @@
 import h11
 
 RECEIVE_BYTES = 65_536
-LARGEST_HEAD_BYTES = 65_536
-UNACKNOWLEDGED_MS = 3_000
-"""Bytes that stay unacknowledged for so long end the connection (TCP_USER_TIMEOUT)."""
-PROBE_IDLE_S = 2
-PROBE_INTERVAL_S = 1
-PROBES = 2
-"""A connection that went silent without a reset is found dead after about 4 s."""
+MAX_HEAD_BYTES = 65_536
+TCP_USER_TIMEOUT_MS = 3_000
+"""The connection is closed when sent bytes stay unacknowledged for this period."""
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+"""TCP keep-alive probes; a connection lost without a reset is detected in about 4 s."""
 DEFAULT_IDLE_S = 3.0
-"""How long an idle connection is trusted where the other end names no time."""
+"""Maximum idle time of a connection whose server announces no keep-alive timeout."""
 IDLE_MARGIN_S = 1.0
-"""Taken off the time that the other end names, since both ends count on their own."""
+"""Subtracted from the announced keep-alive timeout, as both ends measure separately."""
 
-_KEEP_ALIVE = re.compile(rb"timeout=(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 class ConnectFailed(Exception):
-    """No connection could be opened; nothing was sent."""
+    """The connection could not be opened; nothing was sent."""
 
 
 class ChannelBroken(Exception):
-    """A connection ended, fell silent or carried what is no answer.
+    """A connection was closed, timed out or carried an invalid response.
 
     Parameters
     ----------
     message : str
         What happened.
     is_silent : bool, default=False
-        Whether nothing came in time, rather than an end or an error.
+        Whether nothing was received in time, as opposed to a close or an error.
     """
 
     def __init__(self, message, *, is_silent=False):
@@ -46,7 +46,10 @@
 
 @dataclass(frozen=True)
 class Outgoing:
-    """A request as it is written; a body gets its length unless it is empty."""
+    """A request to send.
+
+    A Content-Length header is added if the body isn't empty or ``has_body`` is set.
+    """
 
     method: bytes
     target: bytes
@@ -56,31 +59,35 @@
 
 
 @dataclass(frozen=True)
-class Head:
-    """Status and headers of an answer; names in lower case."""
+class ResponseHead:
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
 
 
 class Channel:
-    """One connection.
+    """An HTTP/1.1 connection.
 
     Parameters
     ----------
     stream : anyio.abc.SocketStream
         The open socket.
     address : str
-        Where it leads.
+        The address of the server, "ip:port".
 
     Attributes
     ----------
     is_written : bool
-        Whether a byte of the present request was handed to the socket.
+        Whether any byte of the present request was passed to the socket.
     is_reusable : bool
-        Whether the last answer was complete and another request may follow.
+        Whether the last response was complete and another request may follow.
     idle_s : float
-        How long it may be kept idle.
+        The maximum time that the connection may stay idle.
+    idle_since_s : float
+        When the connection became idle.
+    served : int
+        The number of requests sent on the connection.
     """
 
     def __init__(self, stream, address):
@@ -92,7 +99,7 @@
         self.idle_since_s = 0.0
         self.served = 0
         self._parser = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=LARGEST_HEAD_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._write_error = None
 
@@ -103,7 +110,7 @@
         Raises
         ------
         ConnectFailed
-            If it isn't open in time.
+            If the connection isn't open within ``timeout_s``.
         """
         host, _, port = address.rpartition(":")
         try:
@@ -111,11 +118,15 @@
                 stream = await anyio.connect_tcp(host, int(port))
         except (OSError, ValueError) as error:
             raise ConnectFailed(f"{address}: {error!r}") from error
-        _set_timeouts(stream)
+        _set_socket_options(stream)
         return cls(stream, address)
 
     def is_alive(self):
-        """Tell whether nothing came since the last answer: no end, no stray bytes."""
+        """Return whether the connection can be reused.
+
+        It can if nothing was received since the last response: neither a close nor
+        unexpected bytes.
+        """
         if not self.is_reusable or self._parser.trailing_data[0]:
             return False
         poll = select.poll()
@@ -123,26 +134,26 @@
         return not poll.poll(0)
 
     def _fileno(self):
-        """Return the socket's descriptor."""
+        """Return the file descriptor of the socket."""
         return self.stream.extra(anyio.abc.SocketAttribute.raw_socket).fileno()
 
-    async def request(self, outgoing, *, timeout_s, more=None) -> Head:
-        """Write a request and return the head of its answer.
+    async def request(self, outgoing, *, timeout_s, more=None) -> ResponseHead:
+        """Send a request and return the head of the response.
 
         Parameters
         ----------
         outgoing : Outgoing
             The request.
         timeout_s : float
-            How long the head may take.
+            The maximum time until the head is received.
         more : callable or None
-            Asked when that time is over; returns how much longer to wait, 0 to give
+            Called when the time is over; returns how much longer to wait, or 0 to give
             up.
 
         Raises
         ------
         ChannelBroken
-            If there is none.
+            If no valid head was received.
         """
         if self.served:
             self._parser.start_next_cycle()
@@ -152,14 +163,14 @@
         data = self._encode(outgoing)
         self._write_error = None
         head = await self._exchange(data, timeout_s, more)
-        self._note_idle(head)
+        self._update_idle_limit(head)
         return head
 
     async def _exchange(self, data, timeout_s, more):
-        """Write and read at once; return the head.
+        """Send a request while reading the response; return the response head.
 
-        A replica may answer before it has read a long body, and may never read on;
-        writing first would then wait for ever.
+        A replica may respond before it has read a long body, and may never read the
+        rest. Sending the whole body before reading would then block forever.
         """
         try:
             async with anyio.create_task_group() as group:
@@ -173,21 +184,22 @@
         return head
 
     async def wait_for(self, read, timeout_s, more=None):
-        """Read something, within a time that may be extended.
+        """Read with a timeout that may be extended.
 
         Parameters
         ----------
         read : callable
-            A coroutine function of this channel that can be called again.
+            A coroutine function that reads from this channel. It is called again after
+            each extension.
         timeout_s : float
-            How long it may take.
+            The maximum time it may take.
         more : callable or None
             As in ``request``.
 
         Raises
         ------
         ChannelBroken
-            If nothing came, or the connection ended.
+            If the time is over, or the connection was closed.
         """
         begun_s = anyio.current_time()
         while timeout_s > 0:
@@ -199,7 +211,7 @@
         raise ChannelBroken(message, is_silent=True)
 
     def _encode(self, outgoing):
-        """Return the bytes of a request."""
+        """Return the serialized request."""
         headers = list(outgoing.headers)
         if outgoing.body or outgoing.has_body:
             headers.append((b"Content-Length", str(len(outgoing.body)).encode()))
@@ -212,24 +224,24 @@
                 parts.append(self._parser.send(h11.Data(data=outgoing.body)))
             parts.append(self._parser.send(h11.EndOfMessage()))
         except h11.LocalProtocolError as error:
-            raise ChannelBroken(f"can't be written: {error}") from error
+            raise ChannelBroken(f"invalid request: {error}") from error
         return b"".join(part for part in parts if part)
 
     async def _write(self, data):
-        """Write a request; an error shows when the answer is read."""
+        """Send a request; an error is noticed when the response is read."""
         self.is_written = True
         try:
             await self.stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as error:
             self._write_error = error
         except BaseException:
-            # Cut in the middle of a body: whatever came next on this connection
-            # would be read as the rest of it.
+            # The body may be sent only in part: the server would read the next request
+            # on this connection as the rest of the body.
             self._write_error = ConnectionAbortedError("the body was not read")
             raise
 
     async def _next_event(self):
-        """Return the parser's next event."""
+        """Return the next parsed event, reading as needed."""
         while True:
             try:
                 event = self._parser.next_event()
@@ -240,7 +252,7 @@
                 raise ChannelBroken(f"{self.address}: {error}") from error
 
     async def _receive(self):
-        """Return the next bytes, empty at a clean end."""
+        """Return the next bytes, or empty bytes if the server closed the connection."""
         try:
             return await self.stream.receive(RECEIVE_BYTES)
         except anyio.EndOfStream:
@@ -249,46 +261,46 @@
             raise ChannelBroken(f"{self.address}: {error!r}") from error
 
     async def _read_head(self):
-        """Return the head of the answer, past interim ones."""
+        """Return the head of the response; interim (1xx) responses are skipped."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
-                return Head(event.status_code, tuple(event.headers))
+                return ResponseHead(event.status_code, tuple(event.headers))
             if not isinstance(event, h11.InformationalResponse):
-                raise ChannelBroken(f"{self.address} closed before it answered")
+                raise ChannelBroken(f"{self.address} closed before it responded")
 
     async def next_chunk(self):
-        """Return the next bytes of the body, or None where it is complete.
+        """Return the next bytes of the body, or None if the body is complete.
 
         Raises
         ------
         ChannelBroken
-            If it breaks off.
+            If the body is cut off.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
-            self._finish()
+            self._update_reusable()
             return None
-        raise ChannelBroken(f"{self.address} closed within an answer")
+        raise ChannelBroken(f"{self.address} closed within a response")
 
-    async def read_all(self, *, timeout_s, more=None, largest_bytes=64_000_000):
-        """Return the whole body.
+    async def read_all(self, *, timeout_s, more=None, max_bytes=64_000_000):
+        """Read and return the whole body.
 
         Parameters
         ----------
         timeout_s : float
-            How long it may take.
+            The maximum time it may take.
         more : callable or None
             As in ``request``.
-        largest_bytes : int
-            How long it may be.
+        max_bytes : int, default=64_000_000
+            The maximum size of the body.
 
         Raises
         ------
         ChannelBroken
-            If it breaks off, falls silent or is too large.
+            If the body is cut off, takes too long or is too large.
         """
         parts: list[bytes] = []
         size = 0
@@ -298,47 +310,49 @@
             while (part := await self.next_chunk()) is not None:
                 parts.append(part)
                 size += len(part)
-                if size > largest_bytes:
+                if size > max_bytes:
                     raise ChannelBroken(f"{self.address} sent over {size} bytes")
 
         await self.wait_for(read_rest, timeout_s, more)
         return b"".join(parts)
 
-    def _finish(self):
-        """Note whether another request may follow a complete answer."""
-        clean = self._parser.our_state is h11.DONE
-        clean = clean and self._parser.their_state is h11.DONE
+    def _update_reusable(self):
+        """Set ``is_reusable`` after a complete response."""
+        is_complete = self._parser.our_state is h11.DONE
+        is_complete = is_complete and self._parser.their_state is h11.DONE
         self.is_reusable = (
-            clean and self._write_error is None and not self._parser.trailing_data[0]
+            is_complete
+            and self._write_error is None
+            and not self._parser.trailing_data[0]
         )
 
-    def _note_idle(self, head):
-        """Take over how long the other end keeps idle connections."""
+    def _update_idle_limit(self, head):
+        """Set the maximum idle time from the server's Keep-Alive header."""
         for name, value in head.headers:
-            if name == b"keep-alive" and (found := _KEEP_ALIVE.search(value)):
-                self.idle_s = max(0.0, int(found[1]) - IDLE_MARGIN_S)
+            if name == b"keep-alive" and (match := _KEEP_ALIVE_TIMEOUT.search(value)):
+                self.idle_s = max(0.0, int(match[1]) - IDLE_MARGIN_S)
 
     async def aclose(self):
-        """Close the socket at once."""
+        """Close the connection immediately."""
         self.is_reusable = False
         with anyio.CancelScope(shield=True):
             await self.stream.aclose()
 
 
-def _set_timeouts(stream):
-    """Let the kernel find connections that went silent without a reset."""
-    raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+def _set_socket_options(stream):
+    """Let the kernel detect connections that are lost without a reset."""
+    sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     )
     for level, option, value in options:
         try:
-            raw.setsockopt(level, option, value)
+            sock.setsockopt(level, option, value)
         except OSError:
-            # Some kernels lack one; the request's own timeouts still hold.
+            # Some kernels lack an option; the timeouts of requests still apply.
             continue
--- a/lycheetide/httpclient/_pool.py
+++ b/lycheetide/httpclient/_pool.py
@@ -1,36 +1,51 @@
-"""Idle connections that are kept for the next request."""
+"""A pool of idle connections that are kept for further requests."""
 
 from collections import defaultdict, deque
 
 from lycheetide.httpclient._channel import Channel, ChannelBroken
 
-IDLE_KEPT = 8
-"""Idle connections kept to one address; a replica takes a few hundred from all."""
-IDLE_SHARE = 0.5
-"""Part of the connections that a replica takes from all callers together which may be
-idle ones; the rest is for new ones, which it would reset otherwise."""
+MAX_IDLE_PER_ADDRESS = 8
+"""Maximum idle connections per address; a replica accepts a few hundred in total."""
+MAX_IDLE_SHARE = 0.5
+"""Share of the connections that a replica accepts from all callers that may be idle.
+
+The rest is left for new connections, which the replica would reset otherwise.
+"""
 
 
 def count_kept(connections, senders):
-    """Return how many idle connections one sender may keep to a replica.
+    """Return the number of idle connections one sender may keep to a replica.
 
     Parameters
     ----------
     connections : int
-        What the replica takes from all.
+        The number of connections that the replica accepts from all senders.
     senders : int
-        Nodes that may send to it.
+        The number of nodes that may send to the replica.
+
+    Returns
+    -------
+    int
+        The limit; 0 if no connection may be kept idle.
 
     Examples
     --------
     >>> count_kept(434, 9), count_kept(338, 91), count_kept(120, 91)
     (8, 1, 0)
     """
-    return min(IDLE_KEPT, int(IDLE_SHARE * connections / max(1, senders)))
+    return min(
+        MAX_IDLE_PER_ADDRESS, int(MAX_IDLE_SHARE * connections / max(1, senders))
+    )
 
 
 class ChannelPool:
-    """Kept connections by address."""
+    """A pool of idle connections by address.
+
+    Attributes
+    ----------
+    opened, reused : int
+        How many connections were opened, and how often an idle one was reused.
+    """
 
     def __init__(self):
         self._idle: dict[str, deque[Channel]] = defaultdict(deque)
@@ -38,24 +53,25 @@
         self.reused = 0
 
     async def open(self, address, *, timeout_s, now_s, fresh=False):
-        """Return a connection.
+        """Return an idle connection if possible, or open a new one.
 
         Parameters
         ----------
         address : str
-            Where to.
+            The address of the server.
         timeout_s : float
-            How long a new one may take.
+            The timeout for opening a connection.
         now_s : float
             The present time.
         fresh : bool, default=False
-            Whether a kept one won't do. A kept one may be dead without a sign, and
-            a request that is lost on it can't be told from one that ran.
+            Whether a new connection is required. An idle connection may be dead
+            without any sign of it, and a request lost on it can't be distinguished
+            from one that was run.
 
         Raises
         ------
         ConnectFailed
-            If none can be opened.
+            If no connection can be opened.
         """
         idle = self._idle[address]
         while idle and not fresh:
@@ -68,23 +84,24 @@
         return await Channel.connect(address, timeout_s=timeout_s)
 
     async def call(self, address, outgoing, *, timeout_s, read_clock, most=1):
-        """Make a small call that may be repeated; return the whole answer.
+        """Send a small idempotent request and return the whole response.
 
-        What breaks on a kept connection without a word crossed its end, and goes out
-        once more on a new one.
+        If a reused connection breaks before the response is complete, the server most
+        likely closed it while the request was on its way; the request is then sent once
+        more on a new connection. A request that timed out is not sent again.
 
         Parameters
         ----------
         address : str
-            Where to.
+            The address of the server.
         outgoing : Outgoing
-            The call.
+            The request.
         timeout_s : float
-            How long each step may take.
+            The timeout of each step: connecting, reading the head and reading the body.
         read_clock : callable
             Returns the present time.
-        most : int
-            Idle connections that may be kept to that address.
+        most : int, default=1
+            The maximum number of idle connections to the address.
 
         Returns
         -------
@@ -94,29 +111,29 @@
         Raises
         ------
         ConnectFailed, ChannelBroken
-            If there is no whole answer.
+            If no complete response was received.
         """
         is_fresh = False
         while True:
             channel = await self.open(
                 address, timeout_s=timeout_s, now_s=read_clock(), fresh=is_fresh
             )
-            is_kept = channel.served > 0
+            is_reused = channel.served > 0
             try:
                 head = await channel.request(outgoing, timeout_s=timeout_s)
                 body = await channel.read_all(timeout_s=timeout_s)
             except BaseException as error:
                 await channel.aclose()
-                is_dropped = isinstance(error, ChannelBroken) and not error.is_silent
-                if not (is_kept and is_dropped):
+                is_broken = isinstance(error, ChannelBroken) and not error.is_silent
+                if not (is_reused and is_broken):
                     raise
                 is_fresh = True
                 continue
             await self.give_back(channel, now_s=read_clock(), most=most)
             return head, body
 
-    async def give_back(self, channel, *, now_s, most=IDLE_KEPT):
-        """Keep a connection whose answer was complete, or close it.
+    async def give_back(self, channel, *, now_s, most=MAX_IDLE_PER_ADDRESS):
+        """Return a connection to the pool, or close it if it can't be reused.
 
         Parameters
         ----------
@@ -125,7 +142,7 @@
         now_s : float
             The present time.
         most : int
-            Idle connections that may be kept to its address.
+            The maximum number of idle connections to its address.
         """
         idle = self._idle[channel.address]
         if not channel.is_alive() or len(idle) >= most:
@@ -135,12 +152,12 @@
         idle.append(channel)
 
     async def forget(self, address):
-        """Close the kept connections to an address that is in doubt."""
+        """Close the idle connections to an address, for example a suspected replica."""
         for channel in self._idle.pop(address, ()):
             await channel.aclose()
 
     async def sweep(self, *, now_s):
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         for address in list(self._idle):
             idle = self._idle[address]
             while idle and now_s - idle[0].idle_since_s >= idle[0].idle_s:
@@ -149,6 +166,6 @@
                 del self._idle[address]
 
     async def aclose(self):
-        """Close all."""
+        """Close all idle connections."""
         for address in list(self._idle):
             await self.forget(address)
--- a/lycheetide/httpclient/tests/test_channel.py
+++ b/lycheetide/httpclient/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""One connection and the answers on it."""
+"""A connection and the responses received on it."""
 
 import anyio
 import pytest
@@ -13,11 +13,11 @@
     return "asyncio"
 
 
-async def test_a_body_that_comes_in_drops_is_read_whole():
-    """Bytes are lost or doubled where a read is given up and begun again."""
+async def test_body_received_in_small_pieces_is_read_completely():
+    """Bytes are lost or duplicated if a read isn't resumed properly after a timeout."""
     body = bytes(range(256)) * 8
 
-    async def drip(stream):
+    async def send_slowly(stream):
         async with stream:
             await stream.receive()
             head = f"HTTP/1.1 200 OK\r\ncontent-length: {len(body)}\r\n\r\n".encode()
@@ -27,7 +27,7 @@
 
     async with anyio.create_task_group() as group:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        group.start_soon(listener.serve, drip)
+        group.start_soon(listener.serve, send_slowly)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         for pause_s in (0.0001, 0.0005, 0.001, 0.0013):
             channel = await Channel.connect(f"127.0.0.1:{port}", timeout_s=1.0)
--- a/lycheetide/httpclient/tests/test_pool.py
+++ b/lycheetide/httpclient/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections end at any moment, and what is sent on them is lost."""
+"""Idle connections can be closed by the server at any time, losing what is sent."""
 
 import time
 from contextlib import asynccontextmanager
@@ -21,14 +21,14 @@
 
 
 @asynccontextmanager
-async def run_server(drops):
-    """Yield an address that answers, but resets the requests that are named."""
+async def run_server(reset_requests):
+    """Run a server and yield its address; it resets the requests with these numbers."""
     count = 0
 
     async def handle(_):
         nonlocal count
         count += 1
-        if count in drops:
+        if count in reset_requests:
             raise Reset
         return Answer(200, str(count).encode())
 
@@ -43,13 +43,13 @@
     return body
 
 
-async def test_a_call_that_crosses_the_end_of_a_kept_connection_is_made_again():
-    """The other end drops a kept connection just as a call goes out on it.
+async def test_call_on_a_reused_connection_that_is_closed_is_sent_again():
+    """The server closes an idle connection just as a call is sent on it.
 
-    The release of a prompt's memory was lost that way, and the memory stayed taken
-    until the reservation ran out seconds later.
+    A request to release the memory of a prompt was lost that way, and the memory stayed
+    reserved until the reservation expired seconds later.
     """
-    async with run_server(drops={2}) as address:
+    async with run_server(reset_requests={2}) as address:
         pool = ChannelPool()
         assert await call(pool, address) == b"1"
         assert await call(pool, address) == b"3"
@@ -57,9 +57,9 @@
         await pool.aclose()
 
 
-async def test_a_call_that_fails_on_a_new_connection_is_not_made_again():
-    """An address that resets everything would be called for ever."""
-    async with run_server(drops={1, 2, 3, 4}) as address:
+async def test_call_that_fails_on_a_new_connection_is_not_sent_again():
+    """A server that resets every connection would be called forever."""
+    async with run_server(reset_requests={1, 2, 3, 4}) as address:
         pool = ChannelPool()
         with pytest.raises(ChannelBroken):
             await call(pool, address)
@@ -67,9 +67,9 @@
         await pool.aclose()
 
 
-async def test_a_connection_that_was_idle_for_too_long_is_not_used_again():
-    """The other end is about to close it, and would reset what crosses that."""
-    async with run_server(drops=()) as address:
+async def test_connection_idle_for_too_long_is_not_reused():
+    """The server is about to close it and would reset a request sent meanwhile."""
+    async with run_server(reset_requests=()) as address:
         pool = ChannelPool()
         await call(pool, address)
         now_s = time.monotonic() + 60.0
@@ -79,9 +79,9 @@
         await pool.aclose()
 
 
-async def test_a_connection_with_bytes_that_nobody_asked_for_is_not_used_again():
-    """A second answer arrives late; the next caller would get it as its own."""
-    async with run_server(drops=()) as address:
+async def test_connection_with_unexpected_bytes_is_not_reused():
+    """A second response arrives late; the next request would receive it."""
+    async with run_server(reset_requests=()) as address:
         pool = ChannelPool()
         channel = await pool.open(address, timeout_s=TIMEOUT_S, now_s=0.0)
         await channel.request(CALL, timeout_s=TIMEOUT_S)
@@ -99,13 +99,13 @@
 def test_idle_connections_of_all_nodes_leave_room_for_new_ones(nodes, connections):
     """Each node of a large fleet keeps a few idle connections to each replica.
 
-    Together they filled what a replica takes, and it reset every new one.
+    Together they used all connections that a replica accepts, and it reset new ones.
     """
     assert nodes * count_kept(connections, nodes) <= connections / 2
 
 
-async def test_no_more_idle_connections_are_kept_than_this_node_s_part():
-    async with run_server(drops=()) as address:
+async def test_idle_connections_do_not_exceed_the_limit_of_the_node():
+    async with run_server(reset_requests=()) as address:
         pool = ChannelPool()
         channels = [
             await pool.open(address, timeout_s=TIMEOUT_S, now_s=0.0) for _ in range(3)
