--- a/lycheetide/platform/__init__.py
+++ b/lycheetide/platform/__init__.py
@@ -1,7 +1,7 @@
-"""How the users' platform speaks: names, formats and calls; nothing here decides.
+"""Adapter for the users' platform: names, formats and calls, without any decisions.
 
-Everything that comes in is decoded once, into types of the product whose fields say
-what they hold; everything that goes out is encoded here from such types.
+Incoming data is decoded once into the types of this project; outgoing data is encoded
+here from such types.
 """
 
 from lycheetide.platform._config import decode_operator_records
--- a/lycheetide/platform/_config.py
+++ b/lycheetide/platform/_config.py
@@ -1,4 +1,4 @@
-"""Decode what operators write: the configuration and the domains taken out."""
+"""Decode operators' records: the configuration and failure domains out of service."""
 
 from collections.abc import Iterable
 
@@ -27,11 +27,11 @@
 
 
 class _Engine(msgspec.Struct, frozen=True, rename="camel"):
-    """A service's engine; three names of its figures are already in snake case."""
+    """The engine of a service; five of its fields have snake-case names in JSON."""
 
     slots: int = 8
     kv_capacity_tokens: int = 0
-    stride: int = 1  # token steps of one pass
+    stride: int = 1  # token steps per pass
     step_ms: float = msgspec.field(name="step_ms", default=1.0)
     per_seq_ms: float = msgspec.field(name="per_seq_ms", default=0.0)
     context_per_k: float = msgspec.field(name="context_per_k", default=0.0)
@@ -92,7 +92,10 @@
 
 
 def _make_engine(engine):
-    """Return an engine with its figures in seconds."""
+    """Convert an engine; its times are converted to seconds.
+
+    Returns None if there is no engine or its prefill rate is not positive.
+    """
     if engine is None or engine.read_per_s <= 0:
         return None
     return Engine(
@@ -108,7 +111,7 @@
 
 
 def _make_service(service):
-    """Return a service in the product's words."""
+    """Convert a service to the type of this project."""
     return Service(
         name=service.name,
         cold_s=service.cold_s,
@@ -119,7 +122,7 @@
 
 
 def _make_route(route):
-    """Return a route in the product's words."""
+    """Convert a route to the type of this project."""
     shares = tuple(Share(share.service, share.weight) for share in route.split)
     return Route(
         name=route.name,
@@ -139,12 +142,12 @@
 
 
 def decode_routing(value: bytes) -> Routing:
-    """Return a configuration.
+    """Decode a configuration.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it isn't one.
+        If ``value`` is not a valid configuration.
     """
     config = msgspec.json.decode(value, type=_Config)
     customers = None
@@ -174,16 +177,22 @@
 
 
 def decode_operator_records(records: Iterable[Record]):
-    """Yield what each record says.
+    """Decode operators' records; records of other keys are skipped.
+
+    Parameters
+    ----------
+    records : iterable of Record
+        Records of the operators' topic.
 
     Yields
     ------
     record : Record
         The record.
     routing : Routing or None
-        A new configuration.
+        The new configuration, if the record holds one.
     domain : str or None
-        A failure domain that is taken out; back in where the record has no value.
+        The failure domain, if the record concerns one. The domain is taken out of
+        service, or returned to service if the record has no value.
     """
     for record in records:
         if record.key == CONFIG_KEY and record.value is not None:
--- a/lycheetide/platform/_orders.py
+++ b/lycheetide/platform/_orders.py
@@ -1,34 +1,34 @@
-"""Orders to replicas: memory that is set aside for a prompt."""
+"""Encode orders to replicas, which reserve and release memory for a prompt."""
 
 import msgspec
 
 from lycheetide.httpclient import Outgoing
 
-ORDER_TARGET = b"/-/order"
+ORDER_PATH = b"/-/order"
 
 
 def _encode(address, body):
-    """Return an order as a request."""
+    """Return the HTTP request for an order."""
     headers = (
         (b"Host", address.encode()),
         (b"Content-Type", b"application/json"),
     )
-    return Outgoing(b"POST", ORDER_TARGET, headers, msgspec.json.encode(body))
+    return Outgoing(b"POST", ORDER_PATH, headers, msgspec.json.encode(body))
 
 
 def encode_reserve(address, ticket, tokens, hold_s):
-    """Return the order that sets memory aside, or renews it.
+    """Return the order that makes or renews a reservation of memory.
 
     Parameters
     ----------
     address : str
-        The replica.
+        The address of the replica.
     ticket : str
-        Names the reservation.
+        The id of the reservation.
     tokens : int
-        How much.
+        The amount of memory, in tokens.
     hold_s : float
-        How long it holds without being renewed.
+        The time after which the reservation expires unless it is renewed.
     """
     return _encode(
         address,
@@ -42,5 +42,5 @@
 
 
 def encode_release(address, ticket):
-    """Return the order that gives memory back."""
+    """Return the order that releases a reservation of memory."""
     return _encode(address, {"operation": "release", "id": ticket})
--- a/lycheetide/platform/_records.py
+++ b/lycheetide/platform/_records.py
@@ -1,52 +1,59 @@
-"""The byte format of the store's records."""
+"""The binary format of records in the store."""
 
 from collections.abc import Iterator
 
 from lycheetide.exchange import Record
 
-LENGTH_BYTES = 4
-HEAD_BYTES = 16
+LENGTH_PREFIX_BYTES = 4
+BATCH_HEADER_BYTES = 16
 
 
-class BrokenRecords(Exception):
-    """Bytes that are no sequence of records."""
+class RecordFormatError(Exception):
+    """The bytes are not a valid sequence of records."""
 
 
 def decode_records(data: bytes, first: int) -> Iterator[Record]:
-    """Yield keyed records.
+    """Decode keyed records.
 
     Parameters
     ----------
     data : bytes
-        Records, each behind its length.
+        The records, each preceded by its length.
     first : int
-        Offset of the first.
+        The offset of the first record.
+
+    Yields
+    ------
+    Record
+        The records, with consecutive offsets; an empty value is decoded as None.
 
     Raises
     ------
-    BrokenRecords
-        If a length runs past the end.
+    RecordFormatError
+        If a record is empty or extends beyond the end of ``data``.
 
     Examples
     --------
     >>> list(decode_records(bytes([0, 0, 0, 4, 2]) + b"abc", 7))
     [Record(offset=7, key='ab', value=b'c')]
     """
-    at = 0
+    position = 0
     offset = first
-    while at < len(data):
-        start = at + LENGTH_BYTES
-        at = start + int.from_bytes(data[at:start], "big")
-        if at > len(data) or at == start:
-            raise BrokenRecords(f"record {offset} ends at {at} of {len(data)} bytes")
+    while position < len(data):
+        start = position + LENGTH_PREFIX_BYTES
+        position = start + int.from_bytes(data[position:start], "big")
+        if position > len(data) or position == start:
+            raise RecordFormatError(
+                f"record {offset} ends at {position} of {len(data)} bytes"
+            )
         key_end = start + 1 + data[start]
         key = data[start + 1 : key_end].decode("utf-8", "replace")
-        yield Record(offset, key, data[key_end:at] or None)
+        yield Record(offset, key, data[key_end:position] or None)
         offset += 1
 
 
 def encode_record(key: str, value: bytes) -> bytes:
-    """Return a keyed record behind its length."""
+    """Encode a keyed record, preceded by its length."""
     name = key.encode()
     body = bytes([len(name)]) + name + value
-    return len(body).to_bytes(LENGTH_BYTES, "big") + body
+    return len(body).to_bytes(LENGTH_PREFIX_BYTES, "big") + body
--- a/lycheetide/platform/_registry.py
+++ b/lycheetide/platform/_registry.py
@@ -1,4 +1,4 @@
-"""Decode what replicas write of themselves into the store."""
+"""Decode the registry records that replicas write about themselves."""
 
 from collections.abc import Iterable, Iterator
 from typing import Literal
@@ -10,7 +10,7 @@
 
 
 class _Entry(msgspec.Struct, frozen=True, rename="camel"):
-    """A replica's record; ``born`` is the Unix millisecond of its start."""
+    """A replica's record; ``born`` is its start time in Unix milliseconds."""
 
     service: str
     address: str
@@ -25,16 +25,23 @@
 def decode_registry_records(
     records: Iterable[Record], *, services, skipped: list[str]
 ) -> Iterator[Change]:
-    """Yield the changes that records tell of.
+    """Decode registry records into changes of the registry.
 
     Parameters
     ----------
     records : iterable of Record
-        From the registry.
+        Records of the registry topic.
     services : collection of str
-        The services that are configured; others are named by nobody who may write.
+        The configured services; if empty, any service is accepted. Records that name
+        another service come from unauthorized writers and are skipped.
     skipped : list of str
-        Gets a line for each record that other writers left or that is torn.
+        A line is appended for each skipped record: one that names an unknown service or
+        that can't be decoded.
+
+    Yields
+    ------
+    Change
+        The new entry of a replica, or None as the entry if it was removed.
     """
     for record in records:
         if record.value is None:
@@ -52,7 +59,7 @@
 
 
 def _make_entry(name, entry):
-    """Return an entry in the product's words."""
+    """Convert an entry to the type of this project."""
     return Entry(
         id=name,
         service=entry.service,
--- a/lycheetide/platform/_requests.py
+++ b/lycheetide/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Decode callers' requests and replicas' answers; encode what goes to replicas."""
+"""Decode callers' requests and replicas' responses; encode requests to replicas."""
 
 from lycheetide.exchange import Answer, CallerRequest, Load
 from lycheetide.httpclient import Outgoing
@@ -21,7 +21,7 @@
 AT_FAULT = b"at-server"
 COLD_MS = b"lycheetide-cold-ms"
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -34,22 +34,22 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, 7.6.1)."""
-SET_HERE = frozenset(
+"""Headers that apply to a single connection only (RFC 9110, section 7.6.1)."""
+OVERRIDDEN_HEADERS = frozenset(
     {DEADLINE_MS, CREDENTIAL, CUSTOMER, EXPECTED_REPLICA, HELPERS, PRIORITY,
      b"content-length", b"expect"}
 )  # fmt: skip
-"""Headers of a caller that never reach a replica as they came."""
+"""Headers of a caller's request that are never forwarded to a replica unchanged."""
 
 
-def _find(headers, name):
-    """Return a header's value, or empty bytes."""
+def _find_header(headers, name):
+    """Return the value of a header, or empty bytes if there is none."""
     return next((value for key, value in headers if key == name), b"")
 
 
 def _drop_hop_by_hop(headers):
-    """Yield the headers that concern more than one connection."""
-    named = {
+    """Yield the headers that are not limited to a single connection."""
+    connection_options = {
         token.strip().lower()
         for key, value in headers
         if key.lower() == b"connection"
@@ -57,95 +57,106 @@
     }
     for key, value in headers:
         lower = key.lower()
-        if lower not in HOP_BY_HOP and lower not in named:
+        if lower not in HOP_BY_HOP_HEADERS and lower not in connection_options:
             yield key, value
 
 
-def _read_number(text, default=0.0):
-    """Return a number from a header, or the default."""
+def _parse_number(text, default=0.0):
+    """Parse a number, or return the default if it is malformed."""
     try:
         return float(text)
     except ValueError:
         return default
 
 
-def _read_tokens(text):
-    """Return prompt tokens and most answer tokens.
+def _parse_token_counts(text):
+    """Return the number of prompt tokens and the maximum number of answer tokens.
 
     Examples
     --------
-    >>> _read_tokens(b"1460,80")
+    >>> _parse_token_counts(b"1460,80")
     (1460, 80)
-    >>> _read_tokens(b"")
+    >>> _parse_token_counts(b"")
     (0, 0)
     """
     first, _, second = text.partition(b",")
-    return int(_read_number(first)), int(_read_number(second))
+    return int(_parse_number(first)), int(_parse_number(second))
 
 
 def decode_request(*, method, target, headers, now_s):
-    """Return a caller's request.
+    """Decode the head of a caller's request.
 
     Parameters
     ----------
     method : str
-        Its method.
+        The HTTP method.
     target : bytes
-        Raw path and query.
+        The raw path and query.
     headers : iterable of (bytes, bytes)
-        With names in lower case.
+        The headers, with names in lower case.
     now_s : float
-        When its head was read.
+        When the head was read.
+
+    Returns
+    -------
+    CallerRequest
+        The request.
     """
     headers = tuple(headers)
-    prompt_tokens, answer_tokens = _read_tokens(_find(headers, TOKENS))
-    hint = _read_number(_find(headers, LENGTH_HINT))
+    prompt_tokens, answer_tokens = _parse_token_counts(_find_header(headers, TOKENS))
+    hint = _parse_number(_find_header(headers, LENGTH_HINT))
     if hint > 0:
         answer_tokens = int(min(hint, answer_tokens or hint))
-    deadline_ms = _read_number(_find(headers, DEADLINE_MS))
+    deadline_ms = _parse_number(_find_header(headers, DEADLINE_MS))
     forwarded = tuple(
         (key, value)
         for key, value in _drop_hop_by_hop(headers)
-        if key not in SET_HERE and key != RESUME_HEADER
+        if key not in OVERRIDDEN_HEADERS and key != RESUME_HEADER
     )
     return CallerRequest(
-        attempt_id=_find(headers, ATTEMPT_ID).decode("latin-1"),
+        attempt_id=_find_header(headers, ATTEMPT_ID).decode("latin-1"),
         method=method,
         target=target,
-        host=_find(headers, b"host").decode("latin-1").partition(":")[0].lower(),
+        host=_find_header(headers, b"host").decode("latin-1").partition(":")[0].lower(),
         headers=forwarded,
-        credential=_find(headers, CREDENTIAL).decode("latin-1"),
+        credential=_find_header(headers, CREDENTIAL).decode("latin-1"),
         received_s=now_s,
         time_left_s=deadline_ms / 1e3 if deadline_ms > 0 else None,
         prompt_tokens=prompt_tokens,
         answer_tokens=answer_tokens,
-        resume_after=_find(headers, RESUME_HEADER),
+        resume_after=_find_header(headers, RESUME_HEADER),
     )
 
 
 def encode_attempt(
     request, body, *, replica, customer, left_s, helpers, urgency, resume_after
 ):
-    """Return what is sent to a replica.
+    """Encode the request of one attempt at a replica.
 
     Parameters
     ----------
     request : CallerRequest
-        What the caller sent.
+        The caller's request.
     body : bytes
-        Its body.
+        The body of the caller's request.
     replica : Entry
-        The only replica that may run it.
+        The replica; no other replica may run the request.
     customer : str
-        Whose it is; empty for none.
+        The customer who sent the request; empty if there is none.
     left_s : float
-        How long the replica may work.
+        The time that the replica has for the request.
     helpers : sequence of (str, str)
-        Addresses that read a part of the prompt, each with a ticket or "".
+        Addresses of replicas that prefill a part of the prompt, each with the ticket of
+        its reservation, or "".
     urgency : int or None
-        From 0, which is admitted first, to 9.
+        The priority from 0, which is admitted first, to 9.
     resume_after : bytes
-        The last event that the caller has; empty for none.
+        The id of the last event that the caller received; empty if there is none.
+
+    Returns
+    -------
+    Outgoing
+        The request to send.
     """
     headers = list(request.headers)
     headers.append((DEADLINE_MS, str(max(1, int(left_s * 1000))).encode()))
@@ -157,10 +168,10 @@
     if urgency is not None:
         headers.append((PRIORITY, str(urgency).encode()))
     if helpers:
-        named = ",".join(
+        helper_list = ",".join(
             f"{address}/{ticket}" if ticket else address for address, ticket in helpers
         )
-        headers.append((HELPERS, named.encode()))
+        headers.append((HELPERS, helper_list.encode()))
     return Outgoing(
         request.method.encode(), request.target, tuple(headers), body,
         has_body=bool(body) or request.method in {"POST", "PUT", "PATCH"},
@@ -168,7 +179,7 @@
 
 
 def _decode_load(text):
-    """Return the load that a replica told of, or None."""
+    """Decode the load reported by a replica; None if it is missing or malformed."""
     parts = text.split(b",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
@@ -176,31 +187,36 @@
 
 
 def decode_answer(head):
-    """Return the head of a replica's answer.
+    """Decode the head of a replica's response.
 
     Parameters
     ----------
-    head : Head
-        Status and headers.
+    head : ResponseHead
+        The status and headers.
+
+    Returns
+    -------
+    Answer
+        The decoded head.
     """
     headers = head.headers
-    unstarted = head.status == 421 or bool(_find(headers, NOT_EXECUTED))
+    unstarted = head.status == 421 or bool(_find_header(headers, NOT_EXECUTED))
     return Answer(
         status=head.status,
-        attempt_id=_find(headers, ATTEMPT_ID).decode("latin-1"),
-        is_sealed=bool(_find(headers, SEAL)),
-        is_encoded=bool(_find(headers, b"content-encoding")),
+        attempt_id=_find_header(headers, ATTEMPT_ID).decode("latin-1"),
+        is_sealed=bool(_find_header(headers, SEAL)),
+        is_encoded=bool(_find_header(headers, b"content-encoding")),
         is_unstarted=unstarted,
         is_other_replica=head.status == 421,
-        at_fault=_find(headers, AT_FAULT).decode("latin-1"),
-        load=_decode_load(_find(headers, LOAD)),
-        cold_s=_read_number(_find(headers, COLD_MS)) / 1e3,
+        at_fault=_find_header(headers, AT_FAULT).decode("latin-1"),
+        load=_decode_load(_find_header(headers, LOAD)),
+        cold_s=_parse_number(_find_header(headers, COLD_MS)) / 1e3,
         headers=headers,
     )
 
 
 def relayed_headers(headers):
-    """Return the headers of a replica's answer that go to the caller."""
+    """Return the headers of a replica's response that are passed to the caller."""
     return [
         (key, value)
         for key, value in _drop_hop_by_hop(headers)
@@ -209,14 +225,14 @@
 
 
 def encode_own_answer(request, *, retry_after_s):
-    """Return the headers of an answer that no replica gave.
+    """Return the headers of a response that the node itself gives.
 
     Parameters
     ----------
     request : CallerRequest
-        What is answered.
+        The request to respond to.
     retry_after_s : float or None
-        When asking again may help.
+        The delay after which a retry may succeed; None to send no such header.
     """
     headers = [(b"content-type", b"application/json")]
     if request.attempt_id:
--- a/lycheetide/platform/_store.py
+++ b/lycheetide/platform/_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""Client for the platform's store."""
 
 import base64
 from dataclasses import dataclass
@@ -9,24 +9,24 @@
 from lycheetide.exchange import Batch, Record, StoreUnavailable
 from lycheetide.httpclient import Channel, ChannelBroken, ConnectFailed, Outgoing
 from lycheetide.platform._records import (
-    HEAD_BYTES,
-    BrokenRecords,
+    BATCH_HEADER_BYTES,
+    RecordFormatError,
     decode_records,
     encode_record,
 )
 
 OPERATOR = "keyed.op"
-"""What operators write: the configuration, and which failure domains are out."""
+"""Topic of operators' records: the configuration and failure domains out of service."""
 REGISTRY = "keyed.servers"
-"""What replicas write of themselves."""
+"""Topic of the records that replicas write about themselves."""
 NODES = "keyed.lycheetide-nodes"
-"""Where this system's nodes write how they can be reached."""
+"""Topic to which the nodes of this system write their addresses."""
 
-LARGEST_READ_KB = 1_024
+MAX_READ_KB = 1_024
 
 
 class _Item(msgspec.Struct, frozen=True):
-    """One record of a listing."""
+    """A record in a listing."""
 
     key: str
     offset: int
@@ -34,7 +34,7 @@
 
 
 class _Page(msgspec.Struct, frozen=True):
-    """One page of a listing."""
+    """A page of a listing."""
 
     items: list[_Item]
     end: int
@@ -42,22 +42,22 @@
 
 
 @dataclass(frozen=True)
-class _Answer:
-    """Status and body of one call."""
+class _StoreResponse:
+    """Status and body of a response."""
 
     status: int
     body: bytes
 
 
 class StoreClient:
-    """One kept connection to the store; one call at a time.
+    """A client with one persistent connection that carries one call at a time.
 
     Parameters
     ----------
     address : str
-        "ip:port".
+        The address of the store, "ip:port".
     note_call : callable
-        Gets what each call is for: "read", "wait", "list" or "append".
+        Called before each call with its kind: "read", "wait", "list" or "append".
     """
 
     def __init__(self, address, *, note_call=lambda verb: None):
@@ -66,41 +66,41 @@
         self._channel = None
 
     async def read(self, topic, offset, *, wait_s, timeout_s) -> Batch:
-        """Return the records from an offset on, or a listing where they are gone.
+        """Return the records from an offset on, or a listing if they have expired.
 
         Parameters
         ----------
         topic : str
             A keyed topic.
         offset : int
-            The first wanted; below 0 for a listing.
+            The offset of the first record; below 0 for a listing.
         wait_s : float
-            How long the store may wait for a first record.
+            How long the store may wait for a new record.
         timeout_s : float
-            How long it may take beyond that.
+            The timeout of the call, in addition to ``wait_s``.
 
         Raises
         ------
         StoreUnavailable
-            If there was no usable answer.
+            If there was no usable response.
         """
         if offset < 0:
             return await self.list(topic, timeout_s=timeout_s)
         target = (
             f"/-/log-read?topic={topic}&part=0&from={offset}"
-            f"&maxKb={LARGEST_READ_KB}&waitMs={int(wait_s * 1000)}"
+            f"&maxKb={MAX_READ_KB}&waitMs={int(wait_s * 1000)}"
         )
         self._note_call("wait" if wait_s else "read")
         answer = await self._call("GET", target, b"", timeout_s=wait_s + timeout_s)
         if answer.status == 410:
             return await self.list(topic, timeout_s=timeout_s)
         self._check(answer, target)
-        if len(answer.body) < HEAD_BYTES:
+        if len(answer.body) < BATCH_HEADER_BYTES:
             raise StoreUnavailable(f"{target}: got {len(answer.body)} bytes")
         end = int.from_bytes(answer.body[:8], "big")
         try:
-            records = tuple(decode_records(answer.body[HEAD_BYTES:], offset))
-        except BrokenRecords as error:
+            records = tuple(decode_records(answer.body[BATCH_HEADER_BYTES:], offset))
+        except RecordFormatError as error:
             raise StoreUnavailable(str(error)) from error
         next_offset = records[-1].offset + 1 if records else max(end, offset)
         return Batch(records, next_offset)
@@ -111,11 +111,11 @@
         Raises
         ------
         StoreUnavailable
-            If there was no usable answer.
+            If there was no usable response.
         """
         records: list[Record] = []
         after = ""
-        first_end = None
+        first_page_end = None
         while True:
             target = f"/-/log-newest?topic={topic}&part=0"
             if after:
@@ -128,21 +128,21 @@
                 records.extend(_decode_item(item) for item in page.items)
             except (msgspec.MsgspecError, ValueError) as error:
                 raise StoreUnavailable(f"{target}: {error}") from error
-            if first_end is None:
-                # Pages are no snapshot; what was written since the first page is
-                # read again from its end.
-                first_end = page.end
+            if first_page_end is None:
+                # The pages are not one consistent snapshot: records written since the
+                # first page are read again, starting from the end offset of that page.
+                first_page_end = page.end
             if not page.more or not page.items:
-                return Batch(tuple(records), first_end, is_listing=True)
+                return Batch(tuple(records), first_page_end, is_listing=True)
             after = page.items[-1].key
 
     async def append(self, topic, key, value, *, timeout_s):
-        """Write one keyed record.
+        """Append a keyed record.
 
         Raises
         ------
         StoreUnavailable
-            If it isn't known to be written.
+            If the record may not have been written.
         """
         target = f"/-/log-append?topic={topic}&part=0"
         body = encode_record(key, value)
@@ -157,12 +157,12 @@
 
     @staticmethod
     def _check(answer, target):
-        """Raise for any answer but success."""
+        """Raise ``StoreUnavailable`` unless the response has status 200."""
         if answer.status != 200:
             raise StoreUnavailable(f"{target}: got status {answer.status}")
 
     async def _call(self, method, target, body, *, timeout_s):
-        """Make one call; the connection is dropped if anything goes wrong."""
+        """Make one call; the connection is closed if anything goes wrong."""
         whole = False
         try:
             if self._channel is None or not self._channel.is_alive():
@@ -175,7 +175,7 @@
             head = await self._channel.request(outgoing, timeout_s=timeout_s)
             content = await self._channel.read_all(timeout_s=timeout_s)
             whole = self._channel.is_reusable
-            return _Answer(head.status, content)
+            return _StoreResponse(head.status, content)
         except (ConnectFailed, ChannelBroken) as error:
             raise StoreUnavailable(str(error)) from error
         finally:
@@ -184,6 +184,6 @@
 
 
 def _decode_item(item):
-    """Return one item of a listing as a record."""
+    """Convert an item of a listing to a record."""
     value = base64.b64decode(item.value) if item.value else None
     return Record(item.offset, item.key, value)
--- a/lycheetide/platform/tests/__init__.py
+++ b/lycheetide/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests for the platform adapter."""
