--- a/lycheetide/fleet/_check.py
+++ b/lycheetide/fleet/_check.py
@@ -13,7 +13,7 @@
 SHA256_HEX_DIGITS = 64
 
 
-def find_faults(fleet):
+def find_invalid_entries(fleet):
     """Yield a finding for each invalid entry and each dangling reference.
 
     Parameters
@@ -26,22 +26,22 @@
     tuple of (str, str, str, str, str)
         Section, entry name, field, actual value and expected value.
     """
-    yield from _find_domain_faults(fleet)
-    yield from _find_upstream_faults(fleet)
-    yield from _find_cell_faults(fleet)
-    yield from _find_class_faults(fleet)
-    yield from _find_customer_faults(fleet)
-    yield from _find_operation_faults(fleet)
+    yield from _find_invalid_domains(fleet)
+    yield from _find_invalid_upstreams(fleet)
+    yield from _find_invalid_cells(fleet)
+    yield from _find_invalid_classes(fleet)
+    yield from _find_invalid_customers(fleet)
+    yield from _find_invalid_operations(fleet)
 
 
-def _find_domain_faults(fleet):
+def _find_invalid_domains(fleet):
     for name, domain in fleet.failure_domains.items():
         if domain.state not in DOMAIN_STATES:
             expected = " or ".join(DOMAIN_STATES)
             yield "failure_domains", name, "state", repr(domain.state), expected
 
 
-def _find_upstream_faults(fleet):
+def _find_invalid_upstreams(fleet):
     section = "upstreams"
     services = {operation.service for operation in fleet.operations.values()}
     for name, upstream in fleet.upstreams.items():
@@ -68,7 +68,7 @@
             yield section, name, "prefill_tokens_per_s", came, "more than 0"
 
 
-def _find_cell_faults(fleet):
+def _find_invalid_cells(fleet):
     """Check that the replicas of a cell serve one name in one region.
 
     A cell has a single owner.
@@ -83,7 +83,7 @@
             yield "upstreams", name, "cell", repr(upstream.cell), expected
 
 
-def _find_class_faults(fleet):
+def _find_invalid_classes(fleet):
     for name, request_class in fleet.classes.items():
         for key in ("deadline_s", "aging_s", "max_wait_s"):
             value = getattr(request_class, key)
@@ -91,7 +91,7 @@
                 yield "classes", name, key, str(value), "more than 0"
 
 
-def _find_customer_faults(fleet):
+def _find_invalid_customers(fleet):
     owners: dict[str, str] = {}
     for name, customer in fleet.customers.items():
         if len(customer.token_sha256) != SHA256_HEX_DIGITS:
@@ -104,7 +104,7 @@
             yield "customers", name, "weight", str(customer.weight), "more than 0"
 
 
-def _find_operation_faults(fleet):
+def _find_invalid_operations(fleet):
     served = {
         upstream.serves
         for upstream in fleet.upstreams.values()
@@ -148,7 +148,7 @@
     fleet = Fleet(**sections)
     findings.extend(
         Finding(place, f"{section}/{name}", key, 0, came, expected)
-        for section, name, key, came, expected in find_faults(fleet)
+        for section, name, key, came, expected in find_invalid_entries(fleet)
     )
     if findings:
         raise ExceptionGroup(
--- a/lycheetide/fleet/_fold.py
+++ b/lycheetide/fleet/_fold.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lycheetide.fleet._check import find_faults
+from lycheetide.fleet._check import find_invalid_entries
 from lycheetide.fleet._model import ENTRY_TYPES, Fleet, decode_entry, encode_entry
 
 BEFORE_FIRST_OFFSET = -1
@@ -136,7 +136,7 @@
     fleet = _update_fleet(state.fleet, entries, record["changes"])
     faults = tuple(
         f"{section}/{name} {key}: got {came}, expected {expected}"
-        for section, name, key, came, expected in find_faults(
+        for section, name, key, came, expected in find_invalid_entries(
             _select_affected(fleet, record["changes"])
         )
     )
--- a/lycheetide/fleet/_availability.py
+++ b/lycheetide/fleet/_open.py
@@ -21,8 +21,8 @@
     Returns
     -------
     bool
-        False if the replica is unknown or leaving, or its failure domain is out of
-        service.
+        False if the replica is unknown or leaving, or if its failure domain is unknown
+        or out of service.
     """
     if upstream is None or upstream.state != "in":
         return False
--- a/lycheetide/fleet/tests/test_fold.py
+++ b/lycheetide/fleet/tests/test_fold.py
@@ -179,7 +179,7 @@
         make_change("base", 0, "cork-a", "in"),
         make_change("out", 1, "cork-a", "out"),
     ]
-    known_names, _ = fold_all(records)
+    known_state, _ = fold_all(records)
     old, _ = fold_all(records[:1])
     snapshot = make_snapshot_record(old) | {"folded_offset": 9}
-    assert begin([(10, snapshot)], 8, known_names) is None
+    assert begin([(10, snapshot)], 8, known_state) is None
--- a/lycheetide/settings/__init__.py
+++ b/lycheetide/settings/__init__.py
@@ -3,10 +3,10 @@
 from lycheetide.settings._findings import Finding, SettingsError
 from lycheetide.settings._read import read_settings
 from lycheetide.settings._relay import RelaySettings
-from lycheetide.settings._schema import FIELDS, Settings
+from lycheetide.settings._schema import NODE_FIELDS, Settings
 
 __all__ = [
-    "FIELDS",
+    "NODE_FIELDS",
     "Finding",
     "RelaySettings",
     "Settings",
--- a/lycheetide/settings/_read.py
+++ b/lycheetide/settings/_read.py
@@ -6,7 +6,7 @@
 
 from lycheetide.settings._findings import Finding, SettingsError
 from lycheetide.settings._relay import RELAY_FIELDS, RelaySettings
-from lycheetide.settings._schema import FIELDS, Settings
+from lycheetide.settings._schema import NODE_FIELDS, Settings
 
 RELAY_SECTION = "relay"
 """A file with this section holds the settings of a relay."""
@@ -44,7 +44,7 @@
         raise ExceptionGroup("invalid settings", [SettingsError(finding)]) from None
     lines = _find_line_numbers(text)
     is_relay = parser.has_section(RELAY_SECTION)
-    fields = RELAY_FIELDS if is_relay else FIELDS
+    fields = RELAY_FIELDS if is_relay else NODE_FIELDS
     findings = list(_find_unknown_keys(parser, fields, lines, path))
     values: dict[str, Any] = {}
     for field in fields:
--- a/lycheetide/settings/_relay.py
+++ b/lycheetide/settings/_relay.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from lycheetide.settings._checks import (
+from lycheetide.settings._parsers import (
     address,
     address_list,
     identifier,
--- a/lycheetide/settings/_schema.py
+++ b/lycheetide/settings/_schema.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lycheetide.settings._checks import (
+from lycheetide.settings._parsers import (
     address,
     identifier,
     integer_at_least,
@@ -81,7 +81,7 @@
     return text
 
 
-FIELDS = (
+NODE_FIELDS = (
     Field("node", "name", identifier, required=True),
     Field("node", "region", identifier, required=True),
     Field("node", "failure_domain", identifier, required=True),
--- a/lycheetide/settings/tests/test_read.py
+++ b/lycheetide/settings/tests/test_read.py
@@ -4,13 +4,13 @@
 import pytest
 from hypothesis import given, settings
 
-from lycheetide.settings import FIELDS, SettingsError, read_settings
+from lycheetide.settings import NODE_FIELDS, SettingsError, read_settings
 
 lines = st.one_of(
-    st.sampled_from([f"[{field.section}]" for field in FIELDS]),
+    st.sampled_from([f"[{field.section}]" for field in NODE_FIELDS]),
     st.builds(
         "{} = {}".format,
-        st.sampled_from([field.key for field in FIELDS]),
+        st.sampled_from([field.key for field in NODE_FIELDS]),
         st.text("abc0123456789.:/ -%", max_size=12),
     ),
     st.text(max_size=20),
