--- a/lycheetide/fleet/__init__.py
+++ b/lycheetide/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""The fleet's configuration: what runs where, and how the log decides on changes."""
+"""The fleet configuration, its validation and the changes applied from the log."""
 
 from lycheetide.fleet._build import FleetBuilder, print_fleet
-from lycheetide.fleet._check import check_document, find_faults
+from lycheetide.fleet._check import check_document, find_invalid_entries
 from lycheetide.fleet._fold import (
     ConfigState,
     Verdict,
@@ -37,7 +37,7 @@
     "check_document",
     "decode_entry",
     "encode_entry",
-    "find_faults",
+    "find_invalid_entries",
     "fold",
     "make_change_record",
     "make_snapshot_record",
