--- a/lycheetide/cli/_main.py
+++ b/lycheetide/cli/_main.py
@@ -218,11 +218,11 @@
 
     def __call__(self):
         """Read the logs and print the account."""
-        from lycheetide.losses import print_summary, read_events, summarize
+        from lycheetide.losses import format_summary, read_events, summarize
 
         with open_logs(self.logs) as files:
             summary = summarize(read_events(files), probes=frozenset(self.probes))
-        print_account(summary, print_summary, as_json=self.as_json)
+        print_account(summary, format_summary, as_json=self.as_json)
         if self.plot_path:
             draw_losses(self.logs, self.plot_path)
 
@@ -253,17 +253,17 @@
     def __call__(self):
         """Read the logs and print the account."""
         from lycheetide.losses import (
-            print_prices,
+            format_usage,
             read_events,
-            save_price_plot,
-            sum_prices,
+            save_usage_plot,
+            sum_usage,
         )
 
         with open_logs(self.logs) as files:
-            prices = sum_prices(read_events(files))
-        print_account(prices, print_prices, as_json=self.as_json)
+            prices = sum_usage(read_events(files))
+        print_account(prices, format_usage, as_json=self.as_json)
         if self.plot_path:
-            save_price_plot(prices, self.plot_path)
+            save_usage_plot(prices, self.plot_path)
 
 
 def print_account(account, describe, *, as_json):
@@ -294,12 +294,12 @@
 
 def draw_losses(paths, plot_path):
     """Draw what replicas read and where requests were lost."""
-    from lycheetide.losses import account_losses, read_events, save_plot
+    from lycheetide.losses import detect_losses, read_events, save_loss_plot
 
     reads: list = []
     with open_logs(paths) as files:
-        losses = list(account_losses(read_events(files), note_read=reads.append))
-    save_plot(reads, losses, plot_path)
+        losses = list(detect_losses(read_events(files), on_read=reads.append))
+    save_loss_plot(reads, losses, plot_path)
 
 
 @cappa.command(
--- a/lycheetide/losses/__init__.py
+++ b/lycheetide/losses/__init__.py
@@ -1,32 +1,32 @@
-"""Where service was lost, read from the saved logs of a fleet's processes."""
+"""Find failed and late requests, and resource usage, in a fleet's saved logs."""
 
-from lycheetide.losses._account import account_losses
-from lycheetide.losses._lines import read_events
-from lycheetide.losses._plot import save_plot
-from lycheetide.losses._prices import (
-    Prices,
-    Use,
-    print_prices,
-    save_price_plot,
-    sum_prices,
+from lycheetide.losses._account import detect_losses
+from lycheetide.losses._log_reader import read_events
+from lycheetide.losses._plot import save_loss_plot
+from lycheetide.losses._summary import format_summary, summarize
+from lycheetide.losses._types import Loss, LossCause, LossKind, PrefillPart, Summary
+from lycheetide.losses._usage import (
+    FleetUsage,
+    NodeUsage,
+    format_usage,
+    save_usage_plot,
+    sum_usage,
 )
-from lycheetide.losses._summary import print_summary, summarize
-from lycheetide.losses._types import Cause, Kind, Loss, Read, Summary
 
 __all__ = [
-    "Cause",
-    "Kind",
+    "FleetUsage",
     "Loss",
-    "Prices",
-    "Read",
+    "LossCause",
+    "LossKind",
+    "NodeUsage",
+    "PrefillPart",
     "Summary",
-    "Use",
-    "account_losses",
-    "print_prices",
-    "print_summary",
+    "detect_losses",
+    "format_summary",
+    "format_usage",
     "read_events",
-    "save_plot",
-    "save_price_plot",
-    "sum_prices",
+    "save_loss_plot",
+    "save_usage_plot",
+    "sum_usage",
     "summarize",
 ]
--- a/lycheetide/losses/_account.py
+++ b/lycheetide/losses/_account.py
@@ -1,300 +1,317 @@
-"""Find what was lost, and why, in one pass over a fleet's events."""
+"""Find lost requests and the causes of their loss in one pass over the log events."""
 
 from collections import defaultdict, deque
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from lycheetide.losses._types import Cause, Event, Kind, Loss, Read
-
-READS_KEPT_S = 30.0
-"""How long a part's reading is remembered: longer than any caller waits."""
-BLAMED_SHARE = 0.25
-"""Part of a delay that the reading of others has to fill to be its cause."""
-NODE_STARTED_S = 3.0
-"""For so long after its start a node may not know what replicas work on."""
-NO_PLACE_SHARE = 0.3
-"""Part of a target for which a request may look for a place before that is why it is
-late."""
-CAUSES = {
-    "broken": Cause.REPLICA_BROKE,
-    "silent": Cause.REPLICA_SILENT,
-    "connect_failed": Cause.REPLICA_UNREACHABLE,
-    "other_replica": Cause.REPLICA_UNREACHABLE,
-    "refused": Cause.REPLICA_REFUSED,
-    "upstream_error": Cause.REPLICA_FAILED,
-    "wrong_answer": Cause.WRONG_ANSWER,
-    "no_memory": Cause.NO_MEMORY,
-    "no_room": Cause.NO_PLACE,
-    "no_replica": Cause.NO_REPLICA,
-    "not_ready": Cause.NODE_STARTED,
-    "deadline": Cause.DEADLINE,
-    "internal": Cause.INTERNAL,
+from lycheetide.losses._types import Event, Loss, LossCause, LossKind, PrefillPart
+
+PREFILL_HISTORY_S = 30.0
+"""How long a prefill is kept in the history: longer than any caller waits."""
+MIN_PREFILL_SHARE = 0.25
+"""Share of a delay that other prompts' prefill must account for to be its cause."""
+NODE_STARTUP_S = 3.0
+"""Time after its start during which a node may not know the replicas' current load."""
+MAX_PLACEMENT_SHARE = 0.3
+"""Share of a request's target latency that its placement may take. Beyond it, the wait
+for a placement is the cause of the delay."""
+CAUSES_BY_CODE = {
+    "broken": LossCause.REPLICA_BROKE,
+    "silent": LossCause.REPLICA_SILENT,
+    "connect_failed": LossCause.REPLICA_UNREACHABLE,
+    "other_replica": LossCause.REPLICA_UNREACHABLE,
+    "refused": LossCause.REPLICA_REFUSED,
+    "upstream_error": LossCause.REPLICA_FAILED,
+    "wrong_answer": LossCause.WRONG_ANSWER,
+    "no_memory": LossCause.NO_MEMORY,
+    "no_room": LossCause.NO_PLACE,
+    "no_replica": LossCause.NO_REPLICA,
+    "not_ready": LossCause.NODE_STARTED,
+    "deadline": LossCause.DEADLINE,
+    "internal": LossCause.INTERNAL,
 }
-"""Causes of attempts and refusals, as nodes log them."""
-NOT_OWED = frozenset({"unauthenticated", "no_route", "body_too_large", "bad_request"})
-"""Refusals of what no caller may ask."""
+"""Causes by the codes of failed attempts and refusals in the logs of nodes."""
+CLIENT_ERRORS = frozenset(
+    {"unauthenticated", "no_route", "body_too_large", "bad_request"}
+)
+"""Codes of refusals that are the caller's fault and so are no losses."""
 
 
 @dataclass
-class Open:
-    """A request that hasn't ended yet.
+class OpenRequest:
+    """A request that has not ended yet.
 
     Parameters
     ----------
     node : str
-        Which node has it.
+        Node that handles it.
     at_s : float
-        When its first line came.
-    placed : list of Event
-        Where it was sent.
-    failed : list of Cause
-        How attempts failed.
+        Time of its first log line.
+    placements : list of Event
+        Its placements on replicas, in order.
+    failed : list of LossCause
+        Causes of its failed attempts, in order.
     """
 
     node: str
     at_s: float
-    placed: list[Event] = field(default_factory=list)
-    failed: list[Cause] = field(default_factory=list)
+    placements: list[Event] = field(default_factory=list)
+    failed: list[LossCause] = field(default_factory=list)
 
 
-def account_losses(
+def detect_losses(
     events: Iterable[Event],
     *,
-    note_end: Callable[[], None] = lambda: None,
-    note_read: Callable[[Read], None] = lambda read: None,
+    on_end: Callable[[], None] = lambda: None,
+    on_read: Callable[[PrefillPart], None] = lambda read: None,
 ) -> Iterator[Loss]:
-    """Yield the requests that were lost, in the order in which that is known.
+    """Yield the lost requests in the order in which their loss becomes known.
 
     Parameters
     ----------
     events : iterable of Event
-        In the order of their times.
-    note_end : callable
-        Called for each request that ended or was left open, lost or not.
-    note_read : callable
-        Called with each part that a replica was to read.
+        Log events in the order of their times.
+    on_end : callable
+        Called for each request that ended or whose end is in no log, lost or not.
+    on_read : callable
+        Called with each prefill that was assigned to a replica.
     """
-    fleet = _Fleet(note_read)
+    fleet = _FleetState(on_read)
     for event in events:
-        for loss in fleet.take(event):
+        for loss in fleet.process(event):
             if loss is not None:
                 yield loss
-            note_end()
+            on_end()
     for loss in fleet.close():
         yield loss
-        note_end()
+        on_end()
 
 
-class _Fleet:
-    """What is known at one moment of the log.
+class _FleetState:
+    """State of the fleet's requests and replicas at one point of the logs.
 
     Parameters
     ----------
-    note_read : callable
-        Called with each part that a replica was to read.
+    on_read : callable
+        Called with each prefill that was assigned to a replica.
     """
 
-    def __init__(self, note_read):
-        self.note_read = note_read
-        self.open: dict[str, Open] = {}
-        self.reads: dict[str, deque[Read]] = defaultdict(deque)
+    def __init__(self, on_read):
+        self.on_read = on_read
+        self.open: dict[str, OpenRequest] = {}
+        self.reads: dict[str, deque[PrefillPart]] = defaultdict(deque)
         self.started_s: dict[str, float] = {}
 
-    def take(self, event):
-        """Take one event in; yield a loss, or None, for each request that it ends."""
+    def process(self, event):
+        """Process one event; yield a loss, or None, for each request that it ends."""
         match event.message:
             case "A prompt is placed.":
-                self._place(event)
+                self._record_placement(event)
             case "An attempt failed." | "A silent stream is tried elsewhere as well.":
-                cause = CAUSES.get(event.fields.get("cause", ""), Cause.UNKNOWN)
-                self._find_open(event).failed.append(cause)
+                cause = CAUSES_BY_CODE.get(
+                    event.fields.get("cause", ""), LossCause.UNKNOWN
+                )
+                self._get_open_request(event).failed.append(cause)
             case "A request ended.":
-                yield self._end(event)
+                yield self._end_request(event)
             case "The node has started.":
                 self.started_s[event.node] = event.at_s
-                yield from self._leave_open(event.node)
+                yield from self._abandon_requests(event.node)
 
     def close(self):
-        """Yield the requests whose end is in no log."""
-        for node in {one.node for one in self.open.values()}:
-            yield from self._leave_open(node)
+        """Yield the losses of the requests whose end is in no log."""
+        for node in {request.node for request in self.open.values()}:
+            yield from self._abandon_requests(node)
 
-    def _find_open(self, event):
-        """Return what is known of an event's request."""
-        return self.open.setdefault(event.request, Open(event.node, event.at_s))
+    def _get_open_request(self, event):
+        """Return the open request of an event, added if it is new."""
+        return self.open.setdefault(event.request, OpenRequest(event.node, event.at_s))
 
-    def _place(self, event):
-        """Note where a prompt goes, and what is read for it."""
-        self._find_open(event).placed.append(event)
+    def _record_placement(self, event):
+        """Record the placement of a prompt and the prefills that it causes."""
+        self._get_open_request(event).placements.append(event)
         fields = event.fields
-        part_s = fields.get("part_ms", 0) / 1e3
-        ends_s = event.at_s + max(part_s, fields.get("expected_ms", 0) / 1e3)
+        prefill_s = fields.get("part_ms", 0) / 1e3
+        ends_s = event.at_s + max(prefill_s, fields.get("expected_ms", 0) / 1e3)
         for replica in (fields["replica"], *fields.get("readers", ())):
-            read = Read(
-                replica, event.request, event.at_s, ends_s, part_s,
+            read = PrefillPart(
+                replica, event.request, event.at_s, ends_s, prefill_s,
                 fields.get("prompt_tokens", 0),
             )  # fmt: skip
             reads = self.reads[replica]
             reads.append(read)
-            while reads and event.at_s - reads[0].begin_s > READS_KEPT_S:
+            while reads and event.at_s - reads[0].start_s > PREFILL_HISTORY_S:
                 reads.popleft()
-            self.note_read(read)
-
-    def _leave_open(self, node):
-        """Yield the losses of requests that ended with their node."""
-        left = [name for name, one in self.open.items() if one.node == node]
-        for name in left:
-            one = self.open.pop(name)
-            replica = one.placed[-1].fields["replica"] if one.placed else ""
-            yield Loss(
-                name, "", "", replica, one.at_s, Kind.UNANSWERED, Cause.NODE_GONE
+            self.on_read(read)
+
+    def _abandon_requests(self, node):
+        """Yield the losses of the requests that were open when their node ended."""
+        names = [name for name, request in self.open.items() if request.node == node]
+        for name in names:
+            request = self.open.pop(name)
+            replica = (
+                request.placements[-1].fields["replica"] if request.placements else ""
             )
+            yield Loss(
+                name, "", "", replica, request.at_s,
+                LossKind.UNANSWERED, LossCause.NODE_GONE,
+            )  # fmt: skip
 
-    def _end(self, event):
-        """Return the loss of a request that ended, or None."""
-        one = self.open.pop(event.request, None) or Open(event.node, event.at_s)
+    def _end_request(self, event):
+        """Return the loss of a request that ended, or None if it was not lost."""
+        request = self.open.pop(event.request, None) or OpenRequest(
+            event.node, event.at_s
+        )
         outcome = event.fields.get("outcome", "")
-        ended = _Ended(event, one)
+        ended = _EndedRequest(event, request)
         if outcome == "caller_left":
-            return self._find_delay(ended) if ended.is_overdue else None
+            return self._find_delay_loss(ended) if ended.is_abandoned_late else None
         if outcome.startswith("refused."):
             reason = outcome.rpartition(".")[2]
-            if reason in NOT_OWED:
+            if reason in CLIENT_ERRORS:
                 return None
-            return ended.make_loss(Kind.REFUSED, CAUSES.get(reason, Cause.UNKNOWN))
+            return ended.make_loss(
+                LossKind.REFUSED, CAUSES_BY_CODE.get(reason, LossCause.UNKNOWN)
+            )
         if outcome == "cut":
-            return ended.make_loss(Kind.CUT, ended.last_failure)
+            return ended.make_loss(LossKind.CUT, ended.last_failure)
         if outcome.startswith("answered.5"):
-            return ended.make_loss(Kind.FAILED, Cause.REPLICA_FAILED)
-        return self._find_delay(ended)
+            return ended.make_loss(LossKind.FAILED, LossCause.REPLICA_FAILED)
+        return self._find_delay_loss(ended)
 
-    def _find_delay(self, ended):
-        """Return the loss of a request that was late or paused, or None."""
+    def _find_delay_loss(self, ended):
+        """Return the loss of a request that was late or paused, or None if neither."""
         if ended.late_s > 0:
-            begin_s, end_s = ended.at_s, ended.at_s + ended.first_s
-            kind, lost_s = Kind.LATE, ended.late_s
-        elif ended.paused_s > 0:
-            end_s = ended.at_s + ended.pause_at_s
-            begin_s = end_s - ended.longest_pause_s
-            kind, lost_s = Kind.PAUSED, ended.paused_s
+            start_s, end_s = ended.at_s, ended.at_s + ended.first_response_s
+            kind, excess_s = LossKind.LATE, ended.late_s
+        elif ended.excess_pause_s > 0:
+            end_s = ended.at_s + ended.pause_end_s
+            start_s = end_s - ended.longest_pause_s
+            kind, excess_s = LossKind.PAUSED, ended.excess_pause_s
         else:
             return None
-        cause, blamed = self._find_cause(ended, kind, begin_s, end_s, lost_s)
-        return ended.make_loss(kind, cause, lost_s=lost_s, blamed=blamed)
+        cause, blocking_prompt = self._find_delay_cause(
+            ended, kind, start_s, end_s, excess_s
+        )
+        return ended.make_loss(
+            kind, cause, excess_s=excess_s, blocking_prompt=blocking_prompt
+        )
 
-    def _find_cause(self, ended, kind, begin_s, end_s, lost_s):
-        """Return why a request was late or paused, and the prompt it stood behind."""
+    def _find_delay_cause(self, ended, kind, start_s, end_s, excess_s):
+        """Return the cause of a delay and the prompt that caused it, if any."""
         if ended.open.failed:
             return ended.last_failure, ""
-        if not ended.open.placed:
-            return (Cause.SLOW_SERVICE if not ended.is_stream else Cause.NO_PLACE), ""
-        placed = ended.open.placed[-1]
-        if kind is Kind.LATE:
-            looked_s = placed.at_s - ended.at_s
-            if looked_s > NO_PLACE_SHARE * ended.target_s:
-                return Cause.NO_PLACE, ""
+        if not ended.open.placements:
+            return (
+                LossCause.SLOW_SERVICE if not ended.is_stream else LossCause.NO_PLACE
+            ), ""
+        placement = ended.open.placements[-1]
+        if kind is LossKind.LATE:
+            placement_wait_s = placement.at_s - ended.at_s
+            if placement_wait_s > MAX_PLACEMENT_SHARE * ended.target_s:
+                return LossCause.NO_PLACE, ""
         others = [
             read
-            for read in self.reads[placed.fields["replica"]]
+            for read in self.reads[placement.fields["replica"]]
             if read.request != ended.event.request
-            and read.begin_s < end_s
-            and read.end_s + lost_s > begin_s
+            and read.start_s < end_s
+            and read.end_s + excess_s > start_s
         ]
-        if sum(read.part_s for read in others) >= BLAMED_SHARE * lost_s:
-            return Cause.BEHIND_READING, max(others, key=_part_s).request
-        return self._find_own_cause(ended, placed, kind), ""
-
-    def _find_own_cause(self, ended, placed, kind):
-        """Return why a request was late that stood behind nobody's reading."""
-        fields = placed.fields
-        if kind is Kind.LATE and fields.get("part_ms", 0) / 1e3 > ended.late_s:
-            return Cause.OWN_LENGTH
+        if sum(read.prefill_s for read in others) >= MIN_PREFILL_SHARE * excess_s:
+            return LossCause.BEHIND_READING, max(others, key=_get_prefill_s).request
+        return self._find_other_cause(ended, placement, kind), ""
+
+    def _find_other_cause(self, ended, placement, kind):
+        """Return the cause of a delay that no other prompt's prefill caused."""
+        fields = placement.fields
+        if kind is LossKind.LATE and fields.get("part_ms", 0) / 1e3 > ended.late_s:
+            return LossCause.OWN_LENGTH
         if fields.get("writers", 0) + 1 > fields.get("slots", float("inf")):
-            return Cause.NO_SLOT
+            return LossCause.NO_SLOT
         started_s = self.started_s.get(ended.event.node, float("-inf"))
-        if placed.at_s - started_s < NODE_STARTED_S:
-            return Cause.NODE_STARTED
-        return Cause.UNKNOWN
+        if placement.at_s - started_s < NODE_STARTUP_S:
+            return LossCause.NODE_STARTED
+        return LossCause.UNKNOWN
 
 
-def _part_s(read):
-    """Return the length of a part's reading."""
-    return read.part_s
+def _get_prefill_s(read):
+    """Return the duration of a prefill."""
+    return read.prefill_s
 
 
 @dataclass(frozen=True)
-class _Ended:
-    """The last line of a request, with what was known of it before."""
+class _EndedRequest:
+    """The last log line of a request, with its placements and failed attempts."""
 
     event: Event
-    open: Open
+    open: OpenRequest
 
     def _seconds(self, name):
-        """Return one of the line's fields, which are milliseconds."""
+        """Return one of the line's fields, given in milliseconds, in seconds."""
         return self.event.fields.get(name, 0) / 1e3
 
     @property
     def at_s(self):
-        """When the request came."""
+        """Arrival time of the request."""
         return self.event.at_s - self._seconds("took_ms")
 
     @property
     def target_s(self):
-        """When its answer, or its first event, is wanted; infinite for never."""
+        """Target time to its answer or first event; infinite if there is none."""
         return self._seconds("target_ms") or float("inf")
 
     @property
     def is_stream(self):
-        """Whether its answer is a stream of events."""
+        """Whether the answer is a stream of events."""
         return "events" in self.event.fields
 
     @property
-    def first_s(self):
-        """When its answer or first event came, or its caller left."""
+    def first_response_s(self):
+        """Time from arrival to the answer, the first event or the caller's leaving."""
         return self._seconds("first_ms") or self._seconds("took_ms")
 
     @property
     def longest_pause_s(self):
-        """The longest pause between two of its events."""
+        """Longest pause between two events of the stream."""
         return self._seconds("longest_pause_ms")
 
     @property
-    def pause_at_s(self):
-        """When the longest pause ended, from when the request came."""
+    def pause_end_s(self):
+        """Time from arrival to the end of the longest pause."""
         return self._seconds("longest_pause_at_ms") or self._seconds("took_ms")
 
     @property
     def late_s(self):
-        """How late it was."""
-        return self.first_s - self.target_s
+        """Delay of the first response beyond its target."""
+        return self.first_response_s - self.target_s
 
     @property
-    def paused_s(self):
-        """How much longer than wanted it paused."""
+    def excess_pause_s(self):
+        """Length of the longest pause beyond the target gap between events."""
         gap_s = self._seconds("gap_ms")
         return self.longest_pause_s - gap_s if gap_s else 0.0
 
     @property
-    def is_overdue(self):
-        """Whether its caller left without an event long after that was wanted."""
+    def is_abandoned_late(self):
+        """Whether the caller left after the target time without having had an event."""
         return self.event.fields.get("events") == 0 and self.late_s > 0
 
     @property
     def last_failure(self):
-        """How its last attempt failed."""
-        return self.open.failed[-1] if self.open.failed else Cause.UNKNOWN
+        """Cause of the last failed attempt."""
+        return self.open.failed[-1] if self.open.failed else LossCause.UNKNOWN
 
-    def make_loss(self, kind, cause, *, lost_s=0.0, blamed=""):
-        """Return its loss."""
-        placed = self.open.placed
+    def make_loss(self, kind, cause, *, excess_s=0.0, blocking_prompt=""):
+        """Return the loss of this request."""
+        placements = self.open.placements
         return Loss(
             self.event.request,
             self.event.fields.get("route", ""),
             self.event.fields.get("customer", ""),
-            placed[-1].fields["replica"] if placed else "",
+            placements[-1].fields["replica"] if placements else "",
             self.at_s,
             kind,
             cause,
-            lost_s,
-            blamed,
+            excess_s,
+            blocking_prompt,
         )
--- a/lycheetide/losses/_lines.py
+++ b/lycheetide/losses/_log_reader.py
@@ -1,4 +1,4 @@
-"""Read the lines of many logs as one stream in the order of their times."""
+"""Merge the lines of several logs into one stream of events, ordered by time."""
 
 import heapq
 from collections.abc import Iterable, Iterator
@@ -10,27 +10,27 @@
 from lycheetide.metrics import HIDDEN, PARTS
 
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-PREFIXES = tuple(PARTS.values())
+LOG_PREFIXES = tuple(PARTS.values())
 
 
 def read_events(logs: Iterable[Iterable[str]]) -> Iterator[Event]:
     """Yield the events of several logs in the order of their times.
 
-    Nothing is held in memory but the next line of each log, so each has to be in order
-    itself, as every process writes its own.
+    Only the next line of each log is held in memory. Each log must therefore be ordered
+    by time itself, which holds for a log that one process wrote.
 
     Parameters
     ----------
     logs : iterable of iterables of str
-        The lines of each log. What stands before a line's first brace is passed over,
-        and so are lines that are cut or no JSON.
+        The lines of each log. Text before the first brace of a line is ignored, and so
+        are lines that are truncated or not JSON.
     """
     streams = (_parse_lines(lines) for lines in logs)
     yield from heapq.merge(*streams, key=lambda event: event.at_s)
 
 
 def _parse_lines(lines):
-    """Yield the events of one log."""
+    """Yield the events of one log and skip lines that can't be parsed."""
     decode = msgspec.json.Decoder(dict).decode
     for line in lines:
         start = line.find("{")
@@ -44,9 +44,9 @@
 
 
 def _make_event(row):
-    """Return the event that a decoded line tells of."""
+    """Return the event of a decoded log line."""
     message = row["message"]
-    for prefix in PREFIXES:
+    for prefix in LOG_PREFIXES:
         message = message.removeprefix(prefix)
     return Event(
         at_s=datetime.strptime(row["time"], TIME_FORMAT).timestamp(),
--- a/lycheetide/losses/_plot.py
+++ b/lycheetide/losses/_plot.py
@@ -1,24 +1,24 @@
-"""Draw what each replica read, and where requests were lost."""
+"""Plot the prefills and the lost requests of each replica over time."""
 
 from collections.abc import Sequence
 
-from lycheetide.losses._types import Loss, Read
+from lycheetide.losses._types import Loss, PrefillPart
 
-LONG_PART_S = 0.03
-"""Shorter parts are drawn lighter; most are whole short prompts."""
+LONG_PREFILL_S = 0.03
+"""Shorter prefills are drawn lighter; most of them are whole short prompts."""
 
 
-def save_plot(reads: Sequence[Read], losses: Sequence[Loss], path: str):
-    """Draw a row a replica: reading over time, and the requests lost there.
+def save_loss_plot(reads: Sequence[PrefillPart], losses: Sequence[Loss], path: str):
+    """Plot one row per replica with its prefills and lost requests over time.
 
     Parameters
     ----------
-    reads : sequence of Read
-        What replicas were to read.
+    reads : sequence of PrefillPart
+        Prefills that were assigned to replicas.
     losses : sequence of Loss
-        What was lost.
+        Lost requests.
     path : str
-        The PNG to write.
+        Path of the PNG file to write.
     """
     import matplotlib  # noqa: PLC0415
 
@@ -27,21 +27,21 @@
 
     replicas = sorted({read.replica for read in reads})
     rows = {name: place for place, name in enumerate(replicas)}
-    begin_s = min((read.begin_s for read in reads), default=0.0)
+    start_s = min((read.start_s for read in reads), default=0.0)
     figure, axes = pyplot.subplots(figsize=(14, 1.5 + 0.25 * len(rows)))
     for read in reads:
         axes.barh(
             rows[read.replica],
-            read.part_s,
-            left=read.begin_s - begin_s,
+            read.prefill_s,
+            left=read.start_s - start_s,
             height=0.7,
             color="tab:blue",
-            alpha=0.7 if read.part_s > LONG_PART_S else 0.2,
+            alpha=0.7 if read.prefill_s > LONG_PREFILL_S else 0.2,
         )
-    drawn = [loss for loss in losses if loss.replica in rows]
+    plotted = [loss for loss in losses if loss.replica in rows]
     axes.scatter(
-        [loss.at_s - begin_s for loss in drawn],
-        [rows[loss.replica] for loss in drawn],
+        [loss.at_s - start_s for loss in plotted],
+        [rows[loss.replica] for loss in plotted],
         s=8,
         color="tab:red",
         zorder=3,
--- a/lycheetide/losses/_types.py
+++ b/lycheetide/losses/_types.py
@@ -1,11 +1,11 @@
-"""What an account of losses is made of."""
+"""Types of log events, losses and their summary."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
-class Kind(StrEnum):
-    """What a caller noticed."""
+class LossKind(StrEnum):
+    """How a request was lost, as its caller saw it."""
 
     LATE = "late"
     PAUSED = "paused"
@@ -15,7 +15,7 @@
     UNANSWERED = "unanswered"
 
 
-class Cause(StrEnum):
+class LossCause(StrEnum):
     """Why a request was lost."""
 
     BEHIND_READING = "behind_reading"
@@ -38,10 +38,15 @@
     UNKNOWN = "unknown"
 
 
-BEYOND_DECISIONS = frozenset(
-    {Cause.NODE_GONE, Cause.NO_REPLICA, Cause.NODE_STARTED, Cause.REPLICA_FAILED}
+UNPREVENTABLE_CAUSES = frozenset(
+    {
+        LossCause.NODE_GONE,
+        LossCause.NO_REPLICA,
+        LossCause.NODE_STARTED,
+        LossCause.REPLICA_FAILED,
+    }
 )
-"""Causes that no choice of the fleet's could have prevented."""
+"""Causes that no placement decision of the fleet could have prevented."""
 
 
 @dataclass(frozen=True)
@@ -51,13 +56,13 @@
     Parameters
     ----------
     at_s : float
-        When, on the node's own wall clock.
+        Time on the node's own wall clock.
     node, message : str
-        Whose line, and its sentence without the part's prefix.
+        Name of the node, and the message without its component's prefix.
     request : str
-        Which request it is about; empty for none.
+        Id of the request that the line is about; empty for none.
     fields : dict
-        The line's other fields.
+        Other fields of the line.
     """
 
     at_s: float
@@ -68,47 +73,47 @@
 
 
 @dataclass(frozen=True)
-class Read:
-    """The reading of one part of a prompt at one replica, as it was expected.
+class PrefillPart:
+    """Expected prefill of one part of a prompt at one replica.
 
     Parameters
     ----------
     replica, request : str
-        Where, and whose.
-    begin_s, end_s : float
-        From its placement until its prompt was expected to be read.
-    part_s : float
-        The part's reading alone.
+        Replica that does the prefill, and request that the prompt belongs to.
+    start_s, end_s : float
+        From the placement until the expected end of the whole prompt's prefill.
+    prefill_s : float
+        Prefill time of this part alone.
     tokens : int
-        Of the whole prompt.
+        Length of the whole prompt.
     """
 
     replica: str
     request: str
-    begin_s: float
+    start_s: float
     end_s: float
-    part_s: float
+    prefill_s: float
     tokens: int
 
 
 @dataclass(frozen=True)
 class Loss:
-    """One request that was late, paused, refused, cut or never answered.
+    """One request that was late, paused, refused, cut, failed or never answered.
 
     Parameters
     ----------
     request, route, customer, replica : str
-        Which; empty where the logs don't tell.
+        Ids and names; empty where the logs don't hold them.
     at_s : float
-        When it came.
-    kind : Kind
-        What its caller noticed.
-    cause : Cause
-        Why.
-    lost_s : float
-        By how much it was late or paused beyond its target; 0 for the others.
-    blamed : str
-        The prompt whose reading it stood behind; empty for none.
+        Arrival time of the request.
+    kind : LossKind
+        How it was lost, as its caller saw it.
+    cause : LossCause
+        Why it was lost.
+    excess_s : float
+        Time by which it was late or paused beyond its target; 0 for other kinds.
+    blocking_prompt : str
+        Request whose prefill delayed it; empty for none.
     """
 
     request: str
@@ -116,24 +121,24 @@
     customer: str
     replica: str
     at_s: float
-    kind: Kind
-    cause: Cause
-    lost_s: float = 0.0
-    blamed: str = ""
+    kind: LossKind
+    cause: LossCause
+    excess_s: float = 0.0
+    blocking_prompt: str = ""
 
 
 @dataclass(frozen=True)
-class Row:
-    """How much was lost in one group: a cause, a route, a window, a prompt.
+class LossGroup:
+    """Losses of one group: a cause, kind, route, customer or time window.
 
     Parameters
     ----------
     name : str
-        The group.
+        Name of the group.
     count : int
-        Requests lost.
+        Number of lost requests.
     causes : tuple of (str, int)
-        By cause, the most frequent first.
+        Lost requests by cause, the most frequent first.
     """
 
     name: str
@@ -142,19 +147,19 @@
 
 
 @dataclass(frozen=True)
-class Costly:
-    """A prompt that others stood behind.
+class BlockingPrompt:
+    """A prompt whose prefill delayed other requests.
 
     Parameters
     ----------
     request : str
-        Which.
+        Id of its request.
     tokens, readers : int
-        Its length, and the replicas that read it.
+        Its length, and the number of replicas that took part in its prefill.
     engine_s : float
-        Reading at all of them together.
+        Total prefill time of all these replicas.
     lost : int
-        Requests that were lost behind it.
+        Requests that were lost because they waited for its prefill.
     """
 
     request: str
@@ -166,22 +171,22 @@
 
 @dataclass(frozen=True)
 class Summary:
-    """An account of losses.
+    """Summary of the losses in a set of logs.
 
     Parameters
     ----------
     requests, lost : int
-        Requests that ended or were left open, and those that were lost.
+        Requests that ended or whose end is in no log, and those that were lost.
     probed : int
-        Requests without a good answer that only probed the configuration; no losses.
+        Failed requests that only probed the configuration; they are no losses.
     known_share : float
-        Part of the lost whose cause is known.
+        Share of the lost requests whose cause is known.
     beyond_decisions : int
-        Lost by what no choice could have prevented.
-    causes, kinds, routes, customers, windows : tuple of Row
-        The worst first.
-    costly : tuple of Costly
-        Prompts that others were lost behind, the worst first.
+        Losses that no placement decision could have prevented.
+    causes, kinds, routes, customers, windows : tuple of LossGroup
+        Groups with most losses first.
+    costly : tuple of BlockingPrompt
+        Prompts whose prefill caused most losses first.
     """
 
     requests: int
@@ -189,9 +194,9 @@
     probed: int
     known_share: float
     beyond_decisions: int
-    causes: tuple[Row, ...]
-    kinds: tuple[Row, ...]
-    routes: tuple[Row, ...]
-    customers: tuple[Row, ...]
-    windows: tuple[Row, ...]
-    costly: tuple[Costly, ...]
+    causes: tuple[LossGroup, ...]
+    kinds: tuple[LossGroup, ...]
+    routes: tuple[LossGroup, ...]
+    customers: tuple[LossGroup, ...]
+    windows: tuple[LossGroup, ...]
+    costly: tuple[BlockingPrompt, ...]
--- a/lycheetide/losses/_prices.py
+++ b/lycheetide/losses/_usage.py
@@ -1,4 +1,4 @@
-"""Sum up what a fleet used that is paid for, from its logs."""
+"""Sum up a fleet's billable resource usage from its logs."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
@@ -7,26 +7,26 @@
 from lycheetide.losses._types import Event
 
 WINDOW_S = 10.0
-"""Length of the windows of the table and of the plot."""
+"""Length of the time windows of the report and of the plot."""
 UNITS = {"bytes": "B", "store": "calls", "connections": ""}
-"""What is counted, by the first word of a reason."""
+"""Unit of each group of resources; the group is the first word of a resource's name."""
 
 
 @dataclass(frozen=True)
-class Use:
-    """What one node used within a span of time.
+class NodeUsage:
+    """Resource usage of one node within one interval.
 
     Parameters
     ----------
     node : str
-        Which node.
+        Name of the node.
     at_s : float
-        When the span ended, on the node's wall clock.
+        End of the interval on the node's wall clock.
     amounts : dict of str to int
-        By reason: "store.TOPIC.CALL", "bytes.near.KIND", "bytes.far.KIND",
+        Amounts by resource: "store.TOPIC.CALL", "bytes.near.KIND", "bytes.far.KIND",
         "connections".
     peak_mb : float
-        The most memory that it had at once, in MB.
+        Peak memory of the process, in MB.
     """
 
     node: str
@@ -36,23 +36,23 @@
 
 
 @dataclass(frozen=True)
-class Prices:
-    """What a fleet used.
+class FleetUsage:
+    """Resource usage of a fleet.
 
     Parameters
     ----------
     nodes : int
-        How many nodes wrote of it.
+        Number of nodes that logged their usage.
     totals : dict of str to int
-        By reason.
+        Total amounts by resource.
     windows : dict of float to dict of str to int
-        The same by the time at which a window begins.
+        Amounts by resource for each time window, by the window's start.
     busiest : dict of str to tuple of (str, int)
-        The node that used most, by reason, and how much.
+        For each resource, the node that used most of it and the amount.
     peak_mb : float
-        The most memory that any node had, in MB.
+        Highest peak memory of all nodes, in MB.
     mean_peak_mb : float
-        The mean over the nodes.
+        Mean of the nodes' peak memory, in MB.
     """
 
     nodes: int
@@ -63,49 +63,49 @@
     mean_peak_mb: float
 
 
-def read_uses(events: Iterable[Event]) -> Iterator[Use]:
-    """Yield what nodes wrote of their use."""
+def iter_usage(events: Iterable[Event]) -> Iterator[NodeUsage]:
+    """Yield the resource usage that nodes logged."""
     for event in events:
         if event.message == "What was used.":
             fields = event.fields
-            yield Use(event.node, event.at_s, fields["used"], fields["peak_mb"])
+            yield NodeUsage(event.node, event.at_s, fields["used"], fields["peak_mb"])
 
 
-def sum_prices(events: Iterable[Event]) -> Prices:
-    """Return what a fleet used, by reason, node and time.
+def sum_usage(events: Iterable[Event]) -> FleetUsage:
+    """Return the resource usage of a fleet by resource, node and time.
 
     Parameters
     ----------
     events : iterable of Event
-        Lines of any number of logs.
+        Events of any number of logs.
     """
     by_node: dict[str, Counter] = defaultdict(Counter)
     windows: dict[float, Counter] = defaultdict(Counter)
     peaks: dict[str, float] = {}
-    for use in read_uses(events):
-        by_node[use.node].update(use.amounts)
-        windows[use.at_s // WINDOW_S * WINDOW_S].update(use.amounts)
-        peaks[use.node] = max(use.peak_mb, peaks.get(use.node, 0.0))
+    for usage in iter_usage(events):
+        by_node[usage.node].update(usage.amounts)
+        windows[usage.at_s // WINDOW_S * WINDOW_S].update(usage.amounts)
+        peaks[usage.node] = max(usage.peak_mb, peaks.get(usage.node, 0.0))
     totals = sum(by_node.values(), Counter())
     busiest = {}
     for reason in totals:
         node = max(by_node, key=lambda name: by_node[name][reason])
         busiest[reason] = (node, by_node[node][reason])
-    return Prices(
+    return FleetUsage(
         len(by_node),
         dict(totals),
-        {begin_s: dict(counts) for begin_s, counts in sorted(windows.items())},
+        {start_s: dict(counts) for start_s, counts in sorted(windows.items())},
         busiest,
         max(peaks.values(), default=0.0),
         sum(peaks.values()) / len(peaks) if peaks else 0.0,
     )
 
 
-def print_prices(prices: Prices) -> Iterator[str]:
-    """Yield the lines of a table, the most of each kind first."""
+def format_usage(prices: FleetUsage) -> Iterator[str]:
+    """Yield the lines of a table; each group lists its largest amounts first."""
     yield (
-        f"{prices.nodes} nodes; memory at its peak {prices.peak_mb:.1f} MB, "
-        f"{prices.mean_peak_mb:.1f} on average"
+        f"{prices.nodes} nodes; peak memory {prices.peak_mb:.1f} MB, "
+        f"{prices.mean_peak_mb:.1f} MB on average"
     )
     groups = defaultdict(list)
     for reason, amount in prices.totals.items():
@@ -119,15 +119,15 @@
             yield f"  {reason:30}{amount:12}  most {most} by {node}"
 
 
-def save_price_plot(prices: Prices, path: str):
-    """Draw what was used in each window: calls to the store, and bytes.
+def save_usage_plot(prices: FleetUsage, path: str):
+    """Plot the calls to the store and the bytes sent in each time window.
 
     Parameters
     ----------
-    prices : Prices
-        What to draw.
+    prices : FleetUsage
+        Usage to plot.
     path : str
-        The PNG to write.
+        Path of the PNG file to write.
     """
     import matplotlib  # noqa: PLC0415
 
@@ -135,8 +135,8 @@
     from matplotlib import pyplot  # noqa: PLC0415
 
     figure, rows = pyplot.subplots(2, 1, sharex=True, figsize=(10, 7))
-    first_s = min(prices.windows, default=0.0)
-    times = [begin_s - first_s for begin_s in prices.windows]
+    first_start_s = min(prices.windows, default=0.0)
+    times = [start_s - first_start_s for start_s in prices.windows]
     for axes, group in zip(rows, ("store", "bytes"), strict=True):
         below = [0] * len(times)
         for reason in sorted(prices.totals):
--- a/lycheetide/losses/tests/__init__.py
+++ b/lycheetide/losses/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the account of losses."""
+"""Tests of the loss analysis."""
--- a/lycheetide/losses/tests/test_account.py
+++ b/lycheetide/losses/tests/test_account.py
@@ -1,14 +1,14 @@
-"""Logs of which it is known what was lost and why."""
+"""Losses and their causes, found in logs whose losses are known."""
 
 import json
 
 import pytest
 
 from lycheetide.losses import (
-    Cause,
-    Kind,
-    account_losses,
-    print_summary,
+    LossCause,
+    LossKind,
+    detect_losses,
+    format_summary,
     read_events,
     summarize,
 )
@@ -20,7 +20,7 @@
     return prefix + json.dumps(row | fields) + "\n"
 
 
-def make_placed(at_s, request, replica="r1", **fields):
+def make_placement(at_s, request, replica="r1", **fields):
     known = {"part_ms": 20, "expected_ms": 60, "prompt_tokens": 5_000, "writers": 0,
              "slots": 8, "readers": []}  # fmt: skip
     return make_line(
@@ -37,120 +37,126 @@
     )
 
 
-def make_failed(at_s, request, cause):
+def make_failed_attempt(at_s, request, cause):
     return make_line(at_s, "An attempt failed.", request=request, cause=cause)
 
 
 def find_losses(*lines):
-    return list(account_losses(read_events([lines])))
+    return list(detect_losses(read_events([lines])))
 
 
-HUGE = make_placed(1.0, "huge", part_ms=1_500, expected_ms=1_600, prompt_tokens=700_000)
+HUGE_PLACEMENT = make_placement(
+    1.0, "huge", part_ms=1_500, expected_ms=1_600, prompt_tokens=700_000
+)
 CASES = {
-    "in time": ([make_placed(2.0, "a"), make_end(3.0, "a")], None),
-    "late behind a huge prompt": (
-        [HUGE, make_placed(1.1, "a"),
+    "in time": ([make_placement(2.0, "a"), make_end(3.0, "a")], None),
+    "late because of a huge prompt": (
+        [HUGE_PLACEMENT, make_placement(1.1, "a"),
          make_end(4.0, "a", took_ms=2_900, first_ms=1_550)],
-        (Kind.LATE, Cause.BEHIND_READING, "huge"),
+        (LossKind.LATE, LossCause.BEHIND_READING, "huge"),
     ),
-    "paused while a part was read": (
-        [make_placed(0.2, "a"), HUGE,
+    "paused during the prefill of another prompt": (
+        [make_placement(0.2, "a"), HUGE_PLACEMENT,
          make_end(4.0, "a", took_ms=3_800, longest_pause_ms=1_560,
                   longest_pause_at_ms=2_500)],
-        (Kind.PAUSED, Cause.BEHIND_READING, "huge"),
+        (LossKind.PAUSED, LossCause.BEHIND_READING, "huge"),
     ),
-    "paused before anything was read there": (
-        [make_placed(0.2, "a"), make_placed(3.0, "later", part_ms=900),
+    "paused before another prompt's prefill": (
+        [make_placement(0.2, "a"), make_placement(3.0, "later", part_ms=900),
          make_end(4.0, "a", took_ms=3_800, longest_pause_ms=600,
                   longest_pause_at_ms=900)],
-        (Kind.PAUSED, Cause.UNKNOWN, ""),
+        (LossKind.PAUSED, LossCause.UNKNOWN, ""),
     ),
-    "long itself": (
-        [make_placed(1.0, "a", part_ms=900, expected_ms=950),
+    "late because of its own length": (
+        [make_placement(1.0, "a", part_ms=900, expected_ms=950),
          make_end(4.0, "a", took_ms=3_000, first_ms=1_000)],
-        (Kind.LATE, Cause.OWN_LENGTH, ""),
+        (LossKind.LATE, LossCause.OWN_LENGTH, ""),
     ),
-    "behind a full replica": (
-        [make_placed(1.0, "a", writers=9), make_end(4.0, "a", took_ms=3_000,
-                                                    first_ms=900)],
-        (Kind.LATE, Cause.NO_SLOT, ""),
+    "placed on a full replica": (
+        [make_placement(1.0, "a", writers=9),
+         make_end(4.0, "a", took_ms=3_000, first_ms=900)],
+        (LossKind.LATE, LossCause.NO_SLOT, ""),
     ),
-    "looked for a place for long": (
-        [make_placed(1.2, "a"), make_end(4.0, "a", took_ms=3_000, first_ms=350)],
-        (Kind.LATE, Cause.NO_PLACE, ""),
+    "waited long for its placement": (
+        [make_placement(1.2, "a"), make_end(4.0, "a", took_ms=3_000, first_ms=350)],
+        (LossKind.LATE, LossCause.NO_PLACE, ""),
     ),
-    "sent again after a silence": (
-        [make_placed(1.0, "a"), make_failed(1.7, "a", "silent"),
-         make_placed(1.7, "a", "r2"), make_end(4.0, "a", took_ms=3_000, first_ms=900)],
-        (Kind.LATE, Cause.REPLICA_SILENT, ""),
+    "retried after a silent replica": (
+        [make_placement(1.0, "a"), make_failed_attempt(1.7, "a", "silent"),
+         make_placement(1.7, "a", "r2"),
+         make_end(4.0, "a", took_ms=3_000, first_ms=900)],
+        (LossKind.LATE, LossCause.REPLICA_SILENT, ""),
     ),
-    "refused for want of memory": (
+    "refused for lack of memory": (
         [make_end(4.0, "a", "refused.503.no_memory")],
-        (Kind.REFUSED, Cause.NO_MEMORY, ""),
+        (LossKind.REFUSED, LossCause.NO_MEMORY, ""),
     ),
     "cut when its replica broke": (
-        [make_placed(1.0, "a"), make_failed(1.5, "a", "broken"),
+        [make_placement(1.0, "a"), make_failed_attempt(1.5, "a", "broken"),
          make_end(2.0, "a", "cut")],
-        (Kind.CUT, Cause.REPLICA_BROKE, ""),
+        (LossKind.CUT, LossCause.REPLICA_BROKE, ""),
     ),
     "failed at the replica": (
-        [make_end(4.0, "a", "answered.500")], (Kind.FAILED, Cause.REPLICA_FAILED, ""),
+        [make_end(4.0, "a", "answered.500")],
+        (LossKind.FAILED, LossCause.REPLICA_FAILED, ""),
     ),
     "its node was killed": (
-        [make_placed(1.0, "a"), make_line(3.0, "The node has started.", member="n1.2")],
-        (Kind.UNANSWERED, Cause.NODE_GONE, ""),
+        [make_placement(1.0, "a"),
+         make_line(3.0, "The node has started.", member="n1.2")],
+        (LossKind.UNANSWERED, LossCause.NODE_GONE, ""),
     ),
     "its node had just started": (
-        [make_line(0.5, "The node has started.", member="n1.2"), make_placed(1.0, "a"),
+        [make_line(0.5, "The node has started.", member="n1.2"),
+         make_placement(1.0, "a"),
          make_end(4.0, "a", took_ms=3_000, first_ms=500)],
-        (Kind.LATE, Cause.NODE_STARTED, ""),
+        (LossKind.LATE, LossCause.NODE_STARTED, ""),
     ),
     "a slow booking": (
         [make_line(4.0, "A request ended.", request="a", outcome="answered.200",
                    took_ms=900, target_ms=400, gap_ms=0, route="book", customer="")],
-        (Kind.LATE, Cause.SLOW_SERVICE, ""),
+        (LossKind.LATE, LossCause.SLOW_SERVICE, ""),
     ),
     "not allowed": ([make_end(4.0, "a", "refused.401.unauthenticated")], None),
-    "left early": (
-        [make_placed(1.0, "a"), make_end(1.2, "a", "caller_left", took_ms=150,
-                                         first_ms=0, events=0)],
+    "caller left before the target": (
+        [make_placement(1.0, "a"),
+         make_end(1.2, "a", "caller_left", took_ms=150, first_ms=0, events=0)],
         None,
     ),
-    "left after long silence": (
-        [HUGE, make_placed(1.1, "a"), make_end(3.1, "a", "caller_left", took_ms=2_000,
-                                               first_ms=0, events=0)],
-        (Kind.LATE, Cause.BEHIND_READING, "huge"),
+    "caller left after the target": (
+        [HUGE_PLACEMENT, make_placement(1.1, "a"),
+         make_end(3.1, "a", "caller_left", took_ms=2_000, first_ms=0, events=0)],
+        (LossKind.LATE, LossCause.BEHIND_READING, "huge"),
     ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_what_was_lost_has_its_cause(case):
+def test_losses_have_kind_and_cause(case):
     lines, expected = CASES[case]
     found = [loss for loss in find_losses(*lines) if loss.request == "a"]
     if expected is None:
         assert found == []
         return
     (loss,) = found
-    assert (loss.kind, loss.cause, loss.blamed) == expected
+    assert (loss.kind, loss.cause, loss.blocking_prompt) == expected
 
 
-def test_logs_of_several_nodes_are_one_stream():
-    """A short prompt on one node stands behind a huge one that another node placed."""
-    one = [HUGE.replace('"n1"', '"n2"')]
+def test_logs_of_several_nodes_are_merged():
+    """A short prompt on one node waits for a huge one that another node placed."""
+    one = [HUGE_PLACEMENT.replace('"n1"', '"n2"')]
     other = [
-        "2.0 n1 " + make_placed(1.1, "a"),
+        "2.0 n1 " + make_placement(1.1, "a"),
         "no json\n",
         '{"torn',
         make_end(4.0, "a", took_ms=2_900, first_ms=1_550),
     ]
-    losses = list(account_losses(read_events([other, one])))
-    assert [loss.blamed for loss in losses if loss.request == "a"] == ["huge"]
+    losses = list(detect_losses(read_events([other, one])))
+    assert [loss.blocking_prompt for loss in losses if loss.request == "a"] == ["huge"]
 
 
-def test_a_summary_names_the_prompt_that_cost_others_most():
-    lines = [HUGE]
-    lines += [make_placed(1.1, f"s{number}") for number in range(3)]
+def test_summary_lists_prompt_that_blocked_most_requests():
+    lines = [HUGE_PLACEMENT]
+    lines += [make_placement(1.1, f"s{number}") for number in range(3)]
     lines += [
         make_end(4.0, f"s{number}", took_ms=2_900, first_ms=1_550)
         for number in range(3)
@@ -161,24 +167,27 @@
     (costly,) = summary.costly
     assert (costly.request, costly.lost) == ("huge", 3)
     assert costly.engine_s == pytest.approx(1.5)
-    text = "\n".join(print_summary(summary))
+    text = "\n".join(format_summary(summary))
     assert "3 of 4 requests lost" in text
     assert "700000 tokens, 1 readers, 1.50 engine-seconds" in text
 
 
-def test_a_long_log_is_read_without_holding_it():
-    """A day's logs have millions of lines; what is kept is bounded by time."""
-    kept: list[int] = []
+def test_long_log_is_read_as_stream():
+    """A day's logs have millions of lines and must not be held in memory as a whole.
+
+    The state that is kept covers a bounded time, and lines are read as they are needed.
+    """
+    written: list[int] = []
 
     def make_lines():
         for number in range(5_000):
             at_s = number / 100
-            yield make_placed(at_s, f"q{number}", f"r{number % 4}")
+            yield make_placement(at_s, f"q{number}", f"r{number % 4}")
             yield make_end(at_s, f"q{number}", took_ms=0)
-            kept.append(len(kept))
+            written.append(len(written))
 
     events = read_events([make_lines()])
-    taken = next(events)
-    assert taken.message == "A prompt is placed."
-    assert len(kept) <= 1
-    assert list(account_losses(events)) == []
+    first_event = next(events)
+    assert first_event.message == "A prompt is placed."
+    assert len(written) <= 1
+    assert list(detect_losses(events)) == []
