--- a/lycheetide/cli/_main.py
+++ b/lycheetide/cli/_main.py
@@ -18,7 +18,7 @@
 from lycheetide.cli._exits import EXIT_FAULTS
 from lycheetide.cli._node import load_settings, run_from_file
 from lycheetide.cli._output import fetch
-from lycheetide.metrics import find_cause, read_lines, sort_lines
+from lycheetide.metrics import describe_outcome, read_request_lines, sort_by_time
 
 
 @cappa.command(
@@ -172,11 +172,11 @@
             for path in self.logs
             for text in Path(path).read_text(errors="replace").splitlines()
         )
-        lines = sort_lines(read_lines(texts, self.request_id))
+        lines = sort_by_time(read_request_lines(texts, self.request_id))
         for line in lines:
             rest = ", ".join(f"{key}={value}" for key, value in line.fields.items())
             print(f"{line.time}  {line.node}  {line.message}  {rest}")
-        print(f"cause: {find_cause(lines)}")
+        print(f"cause: {describe_outcome(lines)}")
 
     def _ask_node(self):
         """Print the steps that a node remembers."""
--- a/lycheetide/cli/_node.py
+++ b/lycheetide/cli/_node.py
@@ -9,7 +9,7 @@
 import anyio
 
 from lycheetide.cli._exits import EXIT_FAULTS, print_findings
-from lycheetide.metrics import set_up_logs
+from lycheetide.metrics import configure_logging
 from lycheetide.settings import RelaySettings, read_settings
 
 
@@ -38,7 +38,7 @@
     from lycheetide import platform
     from lycheetide.relay import run_relay
 
-    set_up_logs(
+    configure_logging(
         level=settings.log_level,
         node=settings.name,
         lines_per_s=settings.log_lines_per_s,
@@ -54,7 +54,7 @@
     """Run in front of the product's own engines."""
     from lycheetide.node import CannotListen, run_node
 
-    set_up_logs(level=settings.log_level, node=settings.name)
+    configure_logging(level=settings.log_level, node=settings.name)
     try:
         anyio.run(run_node, settings)
     except* CannotListen as group:
--- a/lycheetide/losses/_log_reader.py
+++ b/lycheetide/losses/_log_reader.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from lycheetide.losses._types import Event
-from lycheetide.metrics import HIDDEN, PARTS
+from lycheetide.metrics import COMPONENT_PREFIXES, STANDARD_FIELDS
 
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-LOG_PREFIXES = tuple(PARTS.values())
+LOG_PREFIXES = tuple(COMPONENT_PREFIXES.values())
 
 
 def read_events(logs: Iterable[Iterable[str]]) -> Iterator[Event]:
@@ -53,5 +53,5 @@
         node=row.get("node", ""),
         message=message,
         request=row.get("request", ""),
-        fields={key: value for key, value in row.items() if key not in HIDDEN},
+        fields={key: value for key, value in row.items() if key not in STANDARD_FIELDS},
     )
--- a/lycheetide/metrics/__init__.py
+++ b/lycheetide/metrics/__init__.py
@@ -1,27 +1,27 @@
-"""Counters by statsd, histograms by prometheus-client, logs by python-json-logger."""
+"""Counters (statsd), histograms (prometheus-client) and logs (python-json-logger)."""
 
 from lycheetide.metrics._counters import Counters, make_statsd
-from lycheetide.metrics._explain import Explanations, Step
-from lycheetide.metrics._logs import PARTS, get_log, set_up_logs
+from lycheetide.metrics._logs import COMPONENT_PREFIXES, configure_logging, get_log
 from lycheetide.metrics._process import read_process_age_s
+from lycheetide.metrics._request_traces import Explanations, TraceStep
 from lycheetide.metrics._timeline import (
-    HIDDEN,
-    find_cause,
-    read_lines,
-    sort_lines,
+    STANDARD_FIELDS,
+    describe_outcome,
+    read_request_lines,
+    sort_by_time,
 )
 
 __all__ = [
-    "HIDDEN",
-    "PARTS",
+    "COMPONENT_PREFIXES",
+    "STANDARD_FIELDS",
     "Counters",
     "Explanations",
-    "Step",
-    "find_cause",
+    "TraceStep",
+    "configure_logging",
+    "describe_outcome",
     "get_log",
     "make_statsd",
-    "read_lines",
     "read_process_age_s",
-    "set_up_logs",
-    "sort_lines",
+    "read_request_lines",
+    "sort_by_time",
 ]
--- a/lycheetide/metrics/_counters.py
+++ b/lycheetide/metrics/_counters.py
@@ -1,4 +1,4 @@
-"""Count events locally, for ``lycheetide status``, and towards statsd."""
+"""Event counters, kept locally for ``lycheetide status`` and sent to statsd."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 
 
 def make_statsd(address, prefix):
-    """Return a statsd client, or None where no address is set."""
+    """Return a statsd client, or None if ``address`` is empty."""
     if not address:
         return None
     host, _, port = address.rpartition(":")
@@ -19,7 +19,7 @@
     Parameters
     ----------
     client : statsd.StatsClient or None
-        Where they go besides.
+        Client that each increment is also sent to, if any.
     """
 
     def __init__(self, client=None):
@@ -27,15 +27,15 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, name, amount=1):
-        """Add to one counter."""
+        """Add ``amount`` to the counter ``name``."""
         self.counts[name] += amount
         if self.client is not None:
             self.client.incr(name, amount)
 
     def add_refusal(self, error):
-        """Count a request that ended without its answer, by outcome and reason."""
+        """Count a request that ended without an answer, by outcome and reason."""
         self.add(f"refusals.{error.outcome}.{error.reason}")
 
     def add_retry(self, reason):
-        """Count an attempt that followed a broken one."""
+        """Count a retry of a failed attempt."""
         self.add(f"retries.{reason}")
--- a/lycheetide/metrics/_exposition.py
+++ b/lycheetide/metrics/_exposition.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms as text, in the format that scrapers read.
+"""Counters and latency histograms in the Prometheus text exposition format.
 
-The library that writes the text takes 4 MB, so it is loaded with the first question for
-it. Most nodes of a large fleet are never asked, and memory is paid for.
+The prometheus-client library takes 4 MB of memory, which is billed, and most nodes of a
+large fleet are never scraped. It is therefore imported with the first scrape.
 """
 
 import re
@@ -11,47 +11,47 @@
 LATENCY_BOUNDS_S = (
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 1.5, 2.5, 5.0, 10.0, 20.0,
 )  # fmt: skip
-"""Upper bounds of the buckets; the targets of first events lie between 0.2 and 3 s."""
+"""Upper bounds of the buckets. Target latencies of first events are 0.2 to 3 s."""
 
-_BAD = re.compile(r"[^a-zA-Z0-9_]")
+_INVALID_CHARACTERS = re.compile(r"[^a-zA-Z0-9_]")
 
 
-def clean_name(name):
-    """Return a metric's name without characters that scrapers don't take.
+def make_metric_name(name):
+    """Return the Prometheus name of a metric, with invalid characters replaced.
 
     Examples
     --------
-    >>> clean_name("retries.silent")
+    >>> make_metric_name("retries.silent")
     'lycheetide_retries_silent'
     """
-    return f"lycheetide_{_BAD.sub('_', name)}"
+    return f"lycheetide_{_INVALID_CHARACTERS.sub('_', name)}"
 
 
 class Histogram:
-    """How many latencies were within each bound."""
+    """Counts of latencies by bucket, and their sum."""
 
     def __init__(self):
         self.counts = [0] * (len(LATENCY_BOUNDS_S) + 1)
         self.sum_s = 0.0
 
     def add(self, seconds):
-        """Add a latency."""
+        """Count one latency."""
         self.counts[bisect_left(LATENCY_BOUNDS_S, seconds)] += 1
         self.sum_s += seconds
 
     def list_buckets(self):
-        """Return bounds, as scrapers write them, each with the latencies within it."""
+        """Return each bucket's upper bound, as a label value, and cumulative count."""
         bounds = [*map(str, LATENCY_BOUNDS_S), "+Inf"]
         return list(zip(bounds, accumulate(self.counts), strict=True))
 
 
 class Exposition:
-    """What a node's metrics address shows.
+    """Metrics that a node serves at its metrics address.
 
     Parameters
     ----------
     counters : Counters
-        The node's counters; the same go to statsd.
+        The node's counters, which are also sent to statsd.
     """
 
     def __init__(self, counters):
@@ -59,17 +59,17 @@
         self._histograms: dict[str, dict[str, Histogram]] = {}
 
     def collect(self):
-        """Yield all metrics, for the library that writes them."""
+        """Yield all metric families; prometheus-client calls this on each scrape."""
         from prometheus_client.core import (  # noqa: PLC0415
             CounterMetricFamily,
             HistogramMetricFamily,
         )
 
         for name, count in sorted(self.counters.counts.items()):
-            yield CounterMetricFamily(clean_name(name), name, value=count)
+            yield CounterMetricFamily(make_metric_name(name), name, value=count)
         for name, kinds in sorted(self._histograms.items()):
             family = HistogramMetricFamily(
-                f"{clean_name(name)}_seconds", name, labels=["kind"]
+                f"{make_metric_name(name)}_seconds", name, labels=["kind"]
             )
             for kind, histogram in sorted(kinds.items()):
                 family.add_metric([kind], histogram.list_buckets(), histogram.sum_s)
@@ -81,19 +81,20 @@
         Parameters
         ----------
         name : str
-            Which histogram.
+            Name of the histogram.
         seconds : float
-            The latency.
+            Latency to add.
         kind : str
-            One of a few, since each makes a row of buckets.
+            Value of the label ``kind``. Use few values, since each of them adds a set
+            of buckets.
         """
         kinds = self._histograms.setdefault(name, {})
         if kind not in kinds:
             kinds[kind] = Histogram()
         kinds[kind].add(seconds)
 
-    def write_text(self):
-        """Return the text."""
+    def render_text(self):
+        """Return all metrics as encoded text."""
         from prometheus_client import CollectorRegistry, generate_latest  # noqa: PLC0415
 
         registry = CollectorRegistry()
@@ -101,12 +102,12 @@
         return generate_latest(registry)
 
     def make_app(self):
-        """Return the application that serves the text."""
+        """Return the ASGI application that serves the metrics."""
 
         async def metrics_app(scope, receive, send):
             if scope["type"] != "http":
                 return
-            body = self.write_text()
+            body = self.render_text()
             headers = [
                 (b"content-type", b"text/plain; version=0.0.4"),
                 (b"content-length", str(len(body)).encode()),
--- a/lycheetide/metrics/_logs.py
+++ b/lycheetide/metrics/_logs.py
@@ -1,8 +1,9 @@
-"""JSON logs on standard output; each part's sentences begin with its fixed prefix.
+"""JSON logs on standard output; each component's messages have a fixed prefix.
 
-Logs must never hold a request up. A reader that stops reading fills the pipe, and the
-next write would stop the whole node; so a line is written only if it fits, and what
-was left out is counted in a line of its own.
+Logging must never block a request. If the reader of standard output stops reading, the
+pipe fills, and a blocking write would stop the whole node. A line is therefore written
+only if the pipe can take it at once. Lines that can't be written, or that exceed the
+rate limit, are dropped, and their number is logged later.
 """
 
 import io
@@ -14,7 +15,7 @@
 
 from lycheetide.limits import Bucket, spend
 
-PARTS = {
+COMPONENT_PREFIXES = {
     "node": "Node: ",
     "door": "Door: ",
     "prompt": "Prompt: ",
@@ -25,42 +26,42 @@
     "reclaim": "Reclaim: ",
     "relay": "Relay: ",
 }
-LINE_BYTES = 4_000
-"""A pipe that is writable takes 4,096 bytes at once without waiting (PIPE_BUF)."""
+MAX_LINE_BYTES = 4_000
+"""A writable pipe takes 4,096 bytes (PIPE_BUF) at once without blocking."""
 LINES_PER_S = 100.0
 BURST_S = 4.0
-"""How many seconds' lines may come at once."""
+"""Burst capacity of the rate limit, in seconds at the full rate."""
 
 
 class _PrefixAdapter(logging.LoggerAdapter):
-    """Puts the part's prefix before each sentence and keeps the fields."""
+    """Adds the component's prefix to each message and keeps the fields."""
 
     def process(self, msg, kwargs):
-        """Return the sentence with its prefix."""
-        return PARTS[self.logger.name.rpartition(".")[2]] + msg, kwargs
+        """Return the message with its prefix."""
+        return COMPONENT_PREFIXES[self.logger.name.rpartition(".")[2]] + msg, kwargs
 
 
 def get_log(part):
-    """Return the log of one part.
+    """Return the logger of one component.
 
     Parameters
     ----------
     part : str
-        A key of ``PARTS``.
+        Name of the component, a key of ``COMPONENT_PREFIXES``.
     """
     logger = logging.getLogger(f"lycheetide.{part}")
     return _PrefixAdapter(logger, {})
 
 
-class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor without ever waiting for it.
+class NonBlockingHandler(logging.Handler):
+    """Writes lines to a file descriptor without blocking and at a limited rate.
 
     Parameters
     ----------
     file : file object
-        Where to; only its descriptor is used.
+        Unbuffered binary file to write to; its descriptor is polled before each write.
     lines_per_s : float
-        What is written over time.
+        Maximum rate of lines over time.
     """
 
     def __init__(self, file, *, lines_per_s):
@@ -73,7 +74,7 @@
         self._poll.register(file.fileno(), select.POLLOUT)
 
     def emit(self, record):
-        """Write a record, or count it as left out."""
+        """Write a record, or count it as dropped."""
         self._bucket, allowed = spend(
             self._bucket,
             rate_per_s=self.lines_per_s,
@@ -84,10 +85,10 @@
             self.left_out += 1
             return
         if self.left_out:
-            self._tell_left_out(record)
+            self._log_left_out(record)
 
-    def _tell_left_out(self, record):
-        """Write how many lines were left out before."""
+    def _log_left_out(self, record):
+        """Log the number of lines that were dropped before this record."""
         note = logging.LogRecord(
             record.name, logging.WARNING, "", 0, "Lines were left out.", (), None
         )
@@ -97,13 +98,13 @@
             self.left_out = 0
 
     def _write(self, line):
-        """Write a line if that doesn't wait; tell whether it was written."""
+        """Write a line if that doesn't block; return whether it was written."""
         ready = self._poll.poll(0)
         if not ready or not ready[0][1] & select.POLLOUT:
             return False
         data = line.encode("utf-8", "replace")
-        if len(data) > LINE_BYTES:
-            data = data[:LINE_BYTES] + b' ... cut"}'
+        if len(data) > MAX_LINE_BYTES:
+            data = data[:MAX_LINE_BYTES] + b' ... cut"}'
         try:
             self.file.write(data + b"\n")
         except OSError:
@@ -111,20 +112,20 @@
         return True
 
 
-def set_up_logs(*, level, node, lines_per_s=LINES_PER_S):
-    """Write JSON lines to standard output, each with the node's name.
+def configure_logging(*, level, node, lines_per_s=LINES_PER_S):
+    """Set up JSON logging to standard output; each line has the node's name.
 
     Parameters
     ----------
     level : str
-        The least that is written.
+        Lowest level that is written.
     node : str
-        The node's name.
+        Name of the node.
     lines_per_s : float
-        How many lines are written over time.
+        Maximum rate of lines over time.
     """
     raw = io.FileIO(sys.stdout.fileno(), "wb", closefd=False)
-    handler = BoundedHandler(raw, lines_per_s=lines_per_s)
+    handler = NonBlockingHandler(raw, lines_per_s=lines_per_s)
     handler.setFormatter(
         JsonFormatter(
             "{asctime}{levelname}{message}",
@@ -133,7 +134,7 @@
             static_fields={"node": node},
         )
     )
-    # Libraries' own warnings go the same bounded way.
+    # Warnings of libraries also go through the non-blocking, rate-limited handler.
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
--- a/lycheetide/metrics/_process.py
+++ b/lycheetide/metrics/_process.py
@@ -1,18 +1,18 @@
-"""How long this process has run, by the system's own record."""
+"""Age of this process as recorded by the operating system."""
 
 import os
 
 _START_FIELD = 19
-"""Place of the start time behind the command's name, as proc(5) counts fields."""
+"""Index of the start time among the fields after the command's name; see proc(5)."""
 
 
 def read_process_age_s():
-    """Return how long ago the system started this process, in seconds.
+    """Return the time since the system started this process, in seconds.
 
     Returns
     -------
     float or None
-        To a hundredth; None where the system doesn't tell.
+        Resolution is a hundredth of a second; None where /proc isn't available.
     """
     try:
         with open("/proc/self/stat", encoding="ascii", errors="replace") as file:
--- a/lycheetide/metrics/_timeline.py
+++ b/lycheetide/metrics/_timeline.py
@@ -1,46 +1,46 @@
-"""Put one request's lines from the logs of several processes in order."""
+"""Collect one request's lines from the logs of several processes, ordered by time."""
 
 import json
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-CAUSES = {
+CAUSE_DESCRIPTIONS = {
     "no_replica": "no replica of its service took work",
-    "no_room": "so much stood before it everywhere that its caller would have left",
-    "no_memory": "no replica, or no set of them, had the memory for it",
-    "refused": "the replica refused it before starting",
-    "other_replica": "another replica has the address now",
-    "connect_failed": "the replica took no connection",
-    "broken": "the replica broke the connection off",
-    "silent": "the replica fell silent",
-    "wrong_answer": "the replica sent what is no answer to it",
-    "upstream_error": "the replica ran it and failed",
+    "no_room": "every replica had so much queued work that its caller would have left",
+    "no_memory": "no replica or set of replicas had enough memory for it",
+    "refused": "the replica refused it without starting it",
+    "other_replica": "another replica now has this address",
+    "connect_failed": "the connection to the replica could not be opened",
+    "broken": "the connection to the replica broke",
+    "silent": "the replica stopped responding",
+    "wrong_answer": "the replica sent an invalid answer",
+    "upstream_error": "the replica failed while processing it",
     "deadline": "its time was up",
     "unauthenticated": "its credential belongs to no customer",
-    "no_route": "no route has its host and path",
-    "not_ready": "the node knew no configuration yet",
+    "no_route": "no route matches its host and path",
+    "not_ready": "the node had no configuration yet",
     "body_too_large": "its body is larger than the configuration allows",
-    "internal": "a fault inside the node",
+    "internal": "an internal error of the node",
 }
-"""What each cause in the logs means, in a sentence."""
+"""Description of each cause code in the logs."""
 
-HIDDEN = frozenset({"time", "level", "message", "node", "request"})
+STANDARD_FIELDS = frozenset({"time", "level", "message", "node", "request"})
 
 
 @dataclass(frozen=True)
-class Line:
+class LogLine:
     """One line of a log.
 
     Parameters
     ----------
     time : str
-        As written.
+        Timestamp as written.
     node : str
-        Which process wrote it.
+        Name of the process that wrote it.
     message : str
-        The sentence.
+        Message with its component's prefix.
     fields : dict
-        The inputs and the outcome.
+        All other fields of the line.
     """
 
     time: str
@@ -49,15 +49,15 @@
     fields: dict = field(default_factory=dict)
 
 
-def read_lines(texts: Iterable[str], request_id: str) -> Iterator[Line]:
-    """Yield the lines that are about one request.
+def read_request_lines(texts: Iterable[str], request_id: str) -> Iterator[LogLine]:
+    """Yield the log lines of one request.
 
     Parameters
     ----------
     texts : iterable of str
-        Lines of any logs; what stands before a line's first brace is passed over.
+        Lines of any logs; text before the first brace of a line is ignored.
     request_id : str
-        Which request.
+        Id of the request.
     """
     for text in texts:
         start = text.find("{")
@@ -69,46 +69,52 @@
             continue
         if row.get("request") != request_id:
             continue
-        fields = {key: value for key, value in row.items() if key not in HIDDEN}
-        yield Line(row["time"], row.get("node", ""), row["message"], fields)
+        fields = {
+            key: value for key, value in row.items() if key not in STANDARD_FIELDS
+        }
+        yield LogLine(row["time"], row.get("node", ""), row["message"], fields)
 
 
-def sort_lines(lines: Iterable[Line]) -> list[Line]:
-    """Return lines in the order of their times; hosts' clocks are near the true one."""
+def sort_by_time(lines: Iterable[LogLine]) -> list[LogLine]:
+    """Return the lines ordered by time; the hosts' clocks are assumed to be in sync."""
     return sorted(lines, key=lambda line: line.time)
 
 
-def find_cause(lines: list[Line]) -> str:
-    """Return why a request ended as it did.
+def describe_outcome(lines: list[LogLine]) -> str:
+    """Describe how a request ended and why.
 
     Parameters
     ----------
-    lines : list of Line
-        All of its lines, in order.
+    lines : list of LogLine
+        All log lines of the request, ordered by time.
 
     Returns
     -------
     str
-        A sentence; says so where the lines don't tell.
+        Description, also for a request whose end is not in the logs.
     """
-    ends = [line for line in lines if "outcome" in line.fields]
-    if not ends:
+    end_lines = [line for line in lines if "outcome" in line.fields]
+    if not end_lines:
         return (
             "its end is not in these logs: the process ended, or the line was left out"
         )
-    outcome = ends[-1].fields["outcome"]
+    outcome = end_lines[-1].fields["outcome"]
     failed = [line for line in lines if line.fields.get("replica") and
               line.fields.get("cause")]  # fmt: skip
     attempts = [
-        f"{line.fields['replica']}: {CAUSES.get(line.fields['cause'], '?')}"
+        f"{line.fields['replica']}: {CAUSE_DESCRIPTIONS.get(line.fields['cause'], '?')}"
         for line in failed
     ]
-    told = "; ".join(attempts)
+    attempts_text = "; ".join(attempts)
     if outcome == "caller_left":
-        return "its caller closed the connection" + (f" after {told}" if told else "")
+        return "its caller closed the connection" + (
+            f" after {attempts_text}" if attempts_text else ""
+        )
     if outcome.startswith("answered.2"):
-        return "answered" + (f", after {told}" if told else "")
+        return "answered" + (f", after {attempts_text}" if attempts_text else "")
     if outcome.startswith("answered."):
-        return f"the replica itself answered {ends[-1].fields.get('status')}"
-    own = CAUSES.get(outcome.rpartition(".")[2], ends[-1].fields.get("cause", ""))
-    return f"{outcome}: {own}" + (f" ({told})" if told else "")
+        return f"the replica itself answered {end_lines[-1].fields.get('status')}"
+    own = CAUSE_DESCRIPTIONS.get(
+        outcome.rpartition(".")[2], end_lines[-1].fields.get("cause", "")
+    )
+    return f"{outcome}: {own}" + (f" ({attempts_text})" if attempts_text else "")
