--- a/lycheetide/charts/__init__.py
+++ b/lycheetide/charts/__init__.py
@@ -1,5 +1,5 @@
-"""Life cycles as state charts, kept in TOML files and interpreted here."""
+"""State charts of life cycles, defined in TOML files and interpreted here."""
 
-from lycheetide.charts._chart import Chart, ChartError, load_chart
+from lycheetide.charts._chart import StateChart, StateChartError, load_chart
 
-__all__ = ["Chart", "ChartError", "load_chart"]
+__all__ = ["StateChart", "StateChartError", "load_chart"]
--- a/lycheetide/charts/_chart.py
+++ b/lycheetide/charts/_chart.py
@@ -1,4 +1,4 @@
-"""Read a state chart from its file and step it."""
+"""Load state charts from their files and compute transitions."""
 
 import itertools
 import tomllib
@@ -8,24 +8,24 @@
 from importlib.resources import files
 
 
-class ChartError(ValueError):
-    """An event that the chart does not foresee in a state."""
+class StateChartError(ValueError):
+    """An event without a transition from the state, or an invalid chart."""
 
 
 @dataclass(frozen=True)
-class Chart:
-    """One life cycle.
+class StateChart:
+    """State chart of one life cycle.
 
     Parameters
     ----------
     name : str
-        The file's name without its ending.
+        Name of the file without its extension.
     initial : str
-        The state in which a life begins.
+        Initial state.
     flags : mapping of str to frozenset of str
-        For each flag, the states that carry it.
+        For each flag, the states that have it.
     transitions : mapping of (str, str) to str
-        The next state for each state and event.
+        Next state for each pair of state and event.
     """
 
     name: str
@@ -34,11 +34,11 @@
     transitions: Mapping[tuple[str, str], str]
 
     def step(self, state, event):
-        """Return the state that follows ``event`` in ``state``.
+        """Return the next state for ``event`` in ``state``.
 
         Raises
         ------
-        ChartError
+        StateChartError
             If the chart has no such transition.
 
         Examples
@@ -48,39 +48,42 @@
         """
         target = self.transitions.get((state, event))
         if target is None:
-            raise ChartError(f"{self.name}: no event {event!r} in state {state!r}")
+            raise StateChartError(
+                f"{self.name}: no transition on {event!r} from state {state!r}"
+            )
         return target
 
     def has(self, state, flag):
-        """Tell whether ``state`` carries ``flag``."""
+        """Return whether ``state`` has ``flag``."""
         return state in self.flags.get(flag, frozenset())
 
 
 @cache
 def load_chart(name):
-    """Read the chart ``name`` from this package's files.
+    """Load the chart ``name`` from this package's files.
 
     Parameters
     ----------
     name : str
-        The file's name without its ending.
+        Name of the file without its extension.
 
     Returns
     -------
-    Chart
-        The chart; its transitions were checked against its states.
+    StateChart
+        The chart, with its transitions checked against its states.
     """
     text = (files("lycheetide.charts") / f"{name}.toml").read_text()
     return parse_chart(name, text)
 
 
 def parse_chart(name, text):
-    """Build a chart from the text of its file.
+    """Build a chart from the TOML text of its file.
 
     Raises
     ------
     ExceptionGroup
-        With one ``ChartError`` for each transition to or from an unknown state.
+        With one ``StateChartError`` for each transition to an unknown state, and one
+        for an unknown initial state.
     """
     document = tomllib.loads(text)
     states = document["states"]
@@ -90,17 +93,19 @@
         for event, target in body.get("on", {}).items()
     }
     unknown = [
-        ChartError(f"{name}: {source} on {event} goes to unknown state {target!r}")
+        StateChartError(
+            f"{name}: {source} on {event} leads to unknown state {target!r}"
+        )
         for (source, event), target in transitions.items()
         if target not in states
     ]
     if document["initial"] not in states:
-        unknown.append(ChartError(f"{name}: unknown initial state"))
+        unknown.append(StateChartError(f"{name}: unknown initial state"))
     if unknown:
-        raise ExceptionGroup(f"chart {name} is broken", unknown)
-    carried = {state: body.get("flags", []) for state, body in states.items()}
+        raise ExceptionGroup(f"chart {name} is invalid", unknown)
+    state_flags = {state: body.get("flags", []) for state, body in states.items()}
     flags = {
-        flag: frozenset(state for state in states if flag in carried[state])
-        for flag in itertools.chain.from_iterable(carried.values())
+        flag: frozenset(state for state in states if flag in state_flags[state])
+        for flag in itertools.chain.from_iterable(state_flags.values())
     }
-    return Chart(name, document["initial"], flags, transitions)
+    return StateChart(name, document["initial"], flags, transitions)
--- a/lycheetide/charts/tests/test_chart.py
+++ b/lycheetide/charts/tests/test_chart.py
@@ -1,15 +1,15 @@
-"""All charts are sound, and broken ones say all that is wrong."""
+"""The charts are consistent, and invalid charts report all their errors."""
 
 import pytest
 
-from lycheetide.charts import ChartError, load_chart
+from lycheetide.charts import StateChartError, load_chart
 from lycheetide.charts._chart import parse_chart
 
-NAMES = ("booking", "domain", "node", "request", "upstream")
+CHART_NAMES = ("booking", "domain", "node", "request", "upstream")
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_every_state_can_be_reached(name):
+@pytest.mark.parametrize("name", CHART_NAMES)
+def test_every_state_is_reachable(name):
     chart = load_chart(name)
     reached = {chart.initial}
     for _ in chart.transitions:
@@ -18,25 +18,26 @@
     assert states <= reached
 
 
-def test_a_request_that_was_sent_is_never_unsent_by_a_break_alone():
-    """After a break the request waits for another attempt.
+def test_sent_request_is_never_unsent():
+    """After a broken attempt, a request that was sent waits for another attempt.
 
-    It must not be told "not run" then; the run remembers that it was sent.
+    Its outcome must not be reported as "not run" then. The states after sending are not
+    flagged "unsent", and the run keeps the fact that the request was sent.
     """
     chart = load_chart("request")
     assert not chart.has("sent", "unsent")
     assert not chart.has("answering", "unsent")
 
 
-def test_a_booking_that_was_sent_is_never_released():
+def test_sent_booking_is_never_released():
     chart = load_chart("booking")
     for state in ("sent", "recorded", "unknown"):
         assert not chart.has(state, "unsent")
-        with pytest.raises(ChartError):
+        with pytest.raises(StateChartError):
             chart.step(state, "released")
 
 
-def test_a_broken_chart_reports_every_fault():
+def test_invalid_chart_reports_all_errors():
     text = 'initial = "x"\n[states.a]\non = { go = "b", stop = "c" }\n'
     with pytest.raises(ExceptionGroup) as caught:
         parse_chart("broken", text)
