--- a/lycheetide/cli/_config.py
+++ b/lycheetide/cli/_config.py
@@ -1,4 +1,4 @@
-"""``lycheetide config``: print, publish and show a fleet's configuration."""
+"""``lycheetide config``: check, publish and show a fleet's configuration."""
 
 import json
 import secrets
@@ -11,26 +11,26 @@
 import cappa
 
 from lycheetide.cli._exits import (
-    EXIT_FAULTS,
-    EXIT_REFUSED,
-    EXIT_UNREACHED,
+    EXIT_INVALID,
+    EXIT_REJECTED,
+    EXIT_UNREACHABLE,
     print_findings,
 )
-from lycheetide.cli._output import fetch
+from lycheetide.cli._output import fetch_json
 from lycheetide.fleet import check_document, make_change_record, restore
 from lycheetide.fleet._check import place_lines
 from lycheetide.settings import SettingsError
 
-VERDICT_S = 20.0
-POLL_S = 0.1
+VERDICT_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.1
 
 NodeAddress = Annotated[
     str, cappa.Arg(long="--node", help="a node's operator address, ip:port")
 ]
 
 
-def load_document(path):
-    """Read and check a configuration file; print all findings and exit if broken.
+def load_fleet_file(path):
+    """Load a configuration file; print all findings and exit if it is invalid.
 
     Returns
     -------
@@ -42,53 +42,53 @@
             text = file.read()
         document = json.loads(text)
     except OSError as error:
-        raise cappa.Exit(f"{path}: {error.strerror}", code=EXIT_FAULTS) from None
+        raise cappa.Exit(f"{path}: {error.strerror}", code=EXIT_INVALID) from None
     except json.JSONDecodeError as error:
         raise cappa.Exit(
-            f"{path}:{error.lineno}: not JSON: {error.msg}", code=EXIT_FAULTS
+            f"{path}:{error.lineno}: not JSON: {error.msg}", code=EXIT_INVALID
         ) from None
     try:
         return check_document(document, place=path)
     except* SettingsError as group:
         findings = place_lines(text, list_findings(group))
         print_findings([str(finding) for finding in findings])
-        raise cappa.Exit(code=EXIT_FAULTS) from None
+        raise cappa.Exit(code=EXIT_INVALID) from None
 
 
 def list_findings(group):
-    """Return the findings that an exception group carries."""
+    """Return the findings of all settings errors in an exception group."""
     return [error.finding for error in group.exceptions]
 
 
 def list_changes(fleet, state):
-    """Yield what has to change for ``fleet`` to be in force.
+    """Yield the changes that turn the configuration in force into ``fleet``.
 
     Parameters
     ----------
     fleet : Fleet
-        What is wanted.
+        Desired configuration.
     state : ConfigState
-        What is in force.
+        Configuration in force.
 
     Yields
     ------
     tuple of (str, str, entry or None)
-        Section, name and the new entry; None deletes it.
+        Section, name and new entry; None deletes the entry.
     """
     for section in vars(fleet):
-        wanted = getattr(fleet, section)
-        present = getattr(state.fleet, section)
-        for name, entry in wanted.items():
-            if present.get(name) != entry:
+        desired = getattr(fleet, section)
+        current = getattr(state.fleet, section)
+        for name, entry in desired.items():
+            if current.get(name) != entry:
                 yield section, name, entry
-        for name in present:
-            if name not in wanted:
+        for name in current:
+            if name not in desired:
                 yield section, name, None
 
 
 @cappa.command(
     name="publish",
-    help="Publish a configuration file and wait for the log's decision.",
+    help="Publish a configuration file and wait until it is accepted or refused.",
     description="Example: lycheetide config publish fleet.json --node 10.0.0.1:9002 "
     "--log-url http://10.0.0.9:9000 --author maeve",
 )
@@ -99,15 +99,16 @@
     Parameters
     ----------
     file : str
-        What the operators' library printed.
+        Configuration file as printed by the operators' library.
     node : str
-        Where the present configuration is read and the decision is awaited.
+        Operator address of the node that the current configuration and the verdict are
+        read from.
     log_url : str
-        The log service.
+        URL of the log service.
     author : str
-        Who publishes; other operators see it.
+        Who publishes the change; visible to other operators.
     base : int or None
-        The version that the file was made from; the present one if left out.
+        Version that the file was made from; the current version by default.
     """
 
     file: str
@@ -119,16 +120,16 @@
     ] = None
 
     def __call__(self):
-        """Publish and wait."""
+        """Publish the configuration and wait for the verdict."""
         from lycheetide.cli._publish import append_record
 
-        fleet = load_document(self.file)
-        present = fetch(self.node, "/config")
-        state = restore(present["snapshot"])
+        fleet = load_fleet_file(self.file)
+        current = fetch_json(self.node, "/config")
+        state = restore(current["snapshot"])
         base = state.version if self.base is None else self.base
         changes = list(list_changes(fleet, state))
         if not changes:
-            print(f"version {state.version} is in force already; nothing to change")
+            print(f"version {state.version} is already in force; nothing to change")
             return
         record_id = secrets.token_hex(8)
         record = make_change_record(
@@ -139,27 +140,27 @@
         if not verdict["accepted"]:
             for finding in verdict["findings"]:
                 print(finding, file=sys.stderr)
-            raise cappa.Exit("refused", code=EXIT_REFUSED)
+            raise cappa.Exit("refused", code=EXIT_REJECTED)
         print(f"accepted: {len(changes)} entries changed, record {record_id}")
 
 
 def wait_for_verdict(node, record_id):
-    """Wait until a node has folded a record and return its verdict."""
-    begun_s = time.monotonic()
-    while time.monotonic() - begun_s < VERDICT_S:
+    """Wait until a node has processed a record and return its verdict."""
+    started_s = time.monotonic()
+    while time.monotonic() - started_s < VERDICT_TIMEOUT_S:
         try:
-            return fetch(node, f"/verdicts/{record_id}")
+            return fetch_json(node, f"/verdicts/{record_id}")
         except cappa.Exit:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
     raise cappa.Exit(
-        f"{node} has not folded record {record_id} in {VERDICT_S:g} s",
-        code=EXIT_UNREACHED,
+        f"{node} has not processed record {record_id} within {VERDICT_TIMEOUT_S:g} s",
+        code=EXIT_UNREACHABLE,
     )
 
 
 @cappa.command(
     name="show",
-    help="Show what is in force at a node, and since when.",
+    help="Show the configuration in force at a node, and since when.",
     description=" ",
 )
 @dataclass
@@ -175,48 +176,48 @@
     node: NodeAddress
 
     def __call__(self):
-        """Print it."""
-        present = fetch(self.node, "/config")
-        print(f"version {present['version']}, in force for {present['since_s']} s")
-        for section, name, value, version in present["snapshot"]["entries"]:
+        """Print the configuration."""
+        current = fetch_json(self.node, "/config")
+        print(f"version {current['version']}, in force for {current['since_s']} s")
+        for section, name, value, version in current["snapshot"]["entries"]:
             if value is not None:
                 print(f"{section}/{name} (version {version}): {json.dumps(value)}")
 
 
 @cappa.command(
     name="print",
-    help="Check a file that the operators' library printed and print its entries.",
+    help="Check a configuration file and list its entries.",
 )
 @dataclass
 class PrintCommand:
-    """Check a configuration and print it.
+    """Check a configuration file and list its entries.
 
     Parameters
     ----------
     file : str
-        The file.
+        Configuration file as printed by the operators' library.
     """
 
     file: str
 
     def __call__(self):
-        """Print a line for each section."""
-        fleet = load_document(self.file)
+        """Print the names of the entries, one line per section."""
+        fleet = load_fleet_file(self.file)
         for section, entries in vars(fleet).items():
             print(f"{section}: {', '.join(sorted(entries)) or 'none'}")
 
 
 @cappa.command(
-    name="config", help="Print, publish or show a configuration.", description=" "
+    name="config", help="Check, publish or show a configuration.", description=" "
 )
 @dataclass
 class ConfigCommand:
-    """The configuration's commands.
+    """Commands for the configuration.
 
     Parameters
     ----------
     command : object
-        What to do.
+        Command to run.
     """
 
     command: cappa.Subcommands[PrintCommand | PublishCommand | ShowCommand]
--- a/lycheetide/cli/_exits.py
+++ b/lycheetide/cli/_exits.py
@@ -1,14 +1,14 @@
-"""Exit codes, and how findings are printed."""
+"""Exit codes and output of findings."""
 
 import sys
 
-EXIT_UNREACHED = 1
-EXIT_FAULTS = 2
-EXIT_REFUSED = 3
+EXIT_UNREACHABLE = 1
+EXIT_INVALID = 2
+EXIT_REJECTED = 3
 
 
 def print_findings(findings):
-    """Print all findings of a file, a line each."""
+    """Print all findings of a file to standard error, one per line."""
     for finding in findings:
         print(finding, file=sys.stderr)
     print(f"{len(findings)} findings", file=sys.stderr)
--- a/lycheetide/cli/_main.py
+++ b/lycheetide/cli/_main.py
@@ -1,7 +1,7 @@
 """All commands of ``lycheetide``.
 
-Exit codes: 0 done, 1 a node or the log gave no answer, 2 findings in a file or in
-the command line, 3 the fleet refused the change.
+Exit codes: 0 success, 1 no answer from a node or the log, 2 findings in a file or an
+invalid command line, 3 change refused by the fleet.
 """
 
 import json
@@ -14,16 +14,16 @@
 import cappa
 
 from lycheetide._version import __version__
-from lycheetide.cli._config import ConfigCommand, NodeAddress, load_document
-from lycheetide.cli._exits import EXIT_FAULTS
-from lycheetide.cli._node import load_settings, run_from_file
-from lycheetide.cli._output import fetch
+from lycheetide.cli._config import ConfigCommand, NodeAddress, load_fleet_file
+from lycheetide.cli._exits import EXIT_INVALID
+from lycheetide.cli._node import load_settings, run_node_from_file
+from lycheetide.cli._output import fetch_json
 from lycheetide.metrics import describe_outcome, read_request_lines, sort_by_time
 
 
 @cappa.command(
     name="node",
-    help="Run a node until SIGTERM; it then leaves without cutting a request.",
+    help="Run a node until SIGTERM; it then finishes its requests and exits.",
     description="Example: lycheetide node --settings /etc/lycheetide/node.ini",
 )
 @dataclass
@@ -33,14 +33,14 @@
     Parameters
     ----------
     settings : str
-        The INI file.
+        Path of the INI file.
     """
 
     settings: Annotated[str, cappa.Arg(long=True, help="the node's INI file")]
 
     def __call__(self):
         """Run until SIGTERM."""
-        run_from_file(self.settings)
+        run_node_from_file(self.settings)
 
 
 @cappa.command(
@@ -51,12 +51,12 @@
 )
 @dataclass
 class CheckCommand:
-    """Check a file.
+    """Check a settings or configuration file.
 
     Parameters
     ----------
     file : str
-        The file.
+        Path of the file.
     """
 
     file: str
@@ -64,7 +64,7 @@
     def __call__(self):
         """Print the findings, or that there are none."""
         if Path(self.file).suffix == ".json":
-            load_document(self.file)
+            load_fleet_file(self.file)
         else:
             load_settings(self.file)
         print(f"{self.file}: no findings")
@@ -72,7 +72,7 @@
 
 @cappa.command(
     name="status",
-    help="Show what a node owns, knows and refuses.",
+    help="Show a node's state, its members, cells and replicas, and its counters.",
     description="Example: lycheetide status --node 10.0.0.1:9002",
 )
 @dataclass
@@ -82,25 +82,25 @@
     Parameters
     ----------
     node : str
-        Its operator address.
+        Operator address of the node.
     as_json : bool
-        Whether to print all of it as JSON.
+        Whether to print the whole status as JSON.
     """
 
     node: NodeAddress
     as_json: Annotated[bool, cappa.Arg(long="--json", help="print JSON")] = False
 
     def __call__(self):
-        """Print it."""
-        status = fetch(self.node, "/status")
+        """Print the status."""
+        status = fetch_json(self.node, "/status")
         if self.as_json:
             print(json.dumps(status, indent=2))
             return
-        for line in describe_status(status):
+        for line in format_status(status):
             print(line)
 
 
-def describe_status(status):
+def format_status(status):
     """Yield the lines of a node's status."""
     yield (
         f"{status['node']} is {status['state']}; fresh {status['fresh']}, "
@@ -121,7 +121,7 @@
             state = "open" if replica["open"] else "closed"
             yield (
                 f"  {replica['upstream']} in {replica['failure_domain']}: "
-                f"{replica['phase']}, {state}, bears {replica['limit']}"
+                f"{replica['phase']}, {state}, limit {replica['limit']}"
             )
     for name, count in sorted(status["counters"].items()):
         yield f"{name} {count}"
@@ -129,7 +129,7 @@
 
 @cappa.command(
     name="explain",
-    help="Show why a recent request went where it went, step by step.",
+    help="Show step by step how a request was handled, and why.",
     description="Examples: lycheetide explain 39c0a4ad7da04b74 --node 10.0.0.1:9002, "
     "lycheetide explain 39c0a4ad7da04b74 --logs entry-1.log entry-2.log",
 )
@@ -140,11 +140,11 @@
     Parameters
     ----------
     request_id : str
-        From the answer's X-Request-Id header.
+        Request id from the X-Request-Id header of the answer.
     node : str
-        The operator address of the node that answered it; empty to read logs.
+        Operator address of the node that answered it; empty to read logs.
     logs : list of str
-        Saved logs of any number of processes.
+        Paths of saved logs of any number of processes.
     """
 
     request_id: str
@@ -156,17 +156,17 @@
     ] = field(default_factory=list)
 
     def __call__(self):
-        """Print the steps."""
+        """Print the steps or log lines."""
         if self.logs:
-            self._read_logs()
+            self._print_log_lines()
         elif self.node:
-            self._ask_node()
+            self._print_node_steps()
         else:
             raise cappa.Exit("got neither --node nor --logs, expected one of them",
-                             code=EXIT_FAULTS)  # fmt: skip
+                             code=EXIT_INVALID)  # fmt: skip
 
-    def _read_logs(self):
-        """Print the request's lines in order, and the cause of its end."""
+    def _print_log_lines(self):
+        """Print the request's log lines ordered by time, and the cause of its end."""
         texts = (
             text
             for path in self.logs
@@ -174,36 +174,38 @@
         )
         lines = sort_by_time(read_request_lines(texts, self.request_id))
         for line in lines:
-            rest = ", ".join(f"{key}={value}" for key, value in line.fields.items())
-            print(f"{line.time}  {line.node}  {line.message}  {rest}")
+            fields_text = ", ".join(
+                f"{key}={value}" for key, value in line.fields.items()
+            )
+            print(f"{line.time}  {line.node}  {line.message}  {fields_text}")
         print(f"cause: {describe_outcome(lines)}")
 
-    def _ask_node(self):
-        """Print the steps that a node remembers."""
-        for step in fetch(self.node, f"/explain/{self.request_id}")["steps"]:
+    def _print_node_steps(self):
+        """Print the steps that the node still holds of the request."""
+        for step in fetch_json(self.node, f"/explain/{self.request_id}")["steps"]:
             after_ms = step.pop("after_ms")
             what = step.pop("what")
-            rest = ", ".join(f"{key}={value}" for key, value in step.items())
-            print(f"{after_ms:10.2f} ms  {what}  {rest}")
+            fields_text = ", ".join(f"{key}={value}" for key, value in step.items())
+            print(f"{after_ms:10.2f} ms  {what}  {fields_text}")
 
 
 @cappa.command(
     name="losses",
-    help="Say where service was lost, from the saved logs of a fleet's processes.",
+    help="Show which requests were lost and why, from the saved logs of a fleet.",
     description="Example: lycheetide losses entry-1.log entry-2.log --plot losses.png",
 )
 @dataclass
 class LossesCommand:
-    """Account for what was lost.
+    """Summarize lost requests and their causes.
 
     Parameters
     ----------
     logs : list of str
-        Saved logs, a file a process, each in order.
+        Paths of saved logs, one file per process, each ordered by time.
     as_json : bool
         Whether to print JSON.
     plot_path : str
-        Where a plot goes besides; empty for none.
+        Path of the plot to write; empty for none.
     probes : list of str
         Routes whose requests only probe which configuration is in force.
     """
@@ -217,33 +219,33 @@
     ] = field(default_factory=list)
 
     def __call__(self):
-        """Read the logs and print the account."""
+        """Read the logs and print the summary."""
         from lycheetide.losses import format_summary, read_events, summarize
 
         with open_logs(self.logs) as files:
             summary = summarize(read_events(files), probes=frozenset(self.probes))
-        print_account(summary, format_summary, as_json=self.as_json)
+        print_report(summary, format_summary, as_json=self.as_json)
         if self.plot_path:
-            draw_losses(self.logs, self.plot_path)
+            plot_losses(self.logs, self.plot_path)
 
 
 @cappa.command(
     name="prices",
-    help="Sum up what a fleet used that is paid for, from its processes' saved logs.",
+    help="Sum up a fleet's billable resource usage from its processes' saved logs.",
     description="Example: lycheetide prices entry-1.log entry-2.log --plot prices.png",
 )
 @dataclass
 class PricesCommand:
-    """Account for what was used.
+    """Summarize billable resource usage.
 
     Parameters
     ----------
     logs : list of str
-        Saved logs, a file a process, each in order.
+        Paths of saved logs, one file per process, each ordered by time.
     as_json : bool
         Whether to print JSON.
     plot_path : str
-        Where a plot goes besides; empty for none.
+        Path of the plot to write; empty for none.
     """
 
     logs: list[str]
@@ -251,7 +253,7 @@
     plot_path: Annotated[str, cappa.Arg(long="--plot", help="draw a PNG")] = ""
 
     def __call__(self):
-        """Read the logs and print the account."""
+        """Read the logs and print the usage."""
         from lycheetide.losses import (
             format_usage,
             read_events,
@@ -261,25 +263,25 @@
 
         with open_logs(self.logs) as files:
             prices = sum_usage(read_events(files))
-        print_account(prices, format_usage, as_json=self.as_json)
+        print_report(prices, format_usage, as_json=self.as_json)
         if self.plot_path:
             save_usage_plot(prices, self.plot_path)
 
 
-def print_account(account, describe, *, as_json):
-    """Print an account as JSON, or the lines that describe it."""
+def print_report(result, format_lines, *, as_json):
+    """Print a result as JSON, or as the lines that ``format_lines`` yields for it."""
     import msgspec
 
     if as_json:
-        print(msgspec.json.format(msgspec.json.encode(account)).decode())
+        print(msgspec.json.format(msgspec.json.encode(result)).decode())
         return
-    for line in describe(account):
+    for line in format_lines(result):
         print(line)
 
 
 @contextmanager
 def open_logs(paths):
-    """Open logs, or exit; they are closed behind the block."""
+    """Open the logs, or exit if one can't be read; close them after the block."""
     with ExitStack() as stack:
         try:
             files = [
@@ -287,13 +289,13 @@
             ]
         except OSError as error:
             raise cappa.Exit(
-                f"a log can't be read: {error}", code=EXIT_FAULTS
+                f"a log can't be read: {error}", code=EXIT_INVALID
             ) from None
         yield files
 
 
-def draw_losses(paths, plot_path):
-    """Draw what replicas read and where requests were lost."""
+def plot_losses(paths, plot_path):
+    """Plot the prefills and the lost requests of each replica."""
     from lycheetide.losses import detect_losses, read_events, save_loss_plot
 
     reads: list = []
@@ -304,24 +306,27 @@
 
 @cappa.command(
     name="load",
-    help="Send prompts of mixed lengths, drawn from a seed, and report.",
+    help="Send a random load of prompts of mixed lengths and report latencies.",
     description="Example: lycheetide load http://10.0.0.1:8080 --token secret "
     "--model assistant --requests 200 --rate 20 --seed 7 --plot load.png",
 )
 @dataclass
 class LoadCommand:
-    """Send a load.
+    """Send a load and report latencies.
 
     Parameters
     ----------
     urls : list of str
-        The nodes' addresses, used in turn.
+        URLs of the nodes, used in turn.
     token, model : str
-        Whose load it is and what it asks.
+        Token of the customer, and name of the model.
     requests, rate, seed, longest : int or float
-        The load.
+        Number of requests, requests per second, random seed, and length of the longest
+        prompt in tokens.
     json_path, plot_path : str
-        Where the report and the plot go besides.
+        Paths of the JSON report and of the plot to write; empty for none.
+    classes : list of str
+        Request classes of short and of huge prompts.
     """
 
     urls: list[str]
@@ -343,7 +348,7 @@
     ] = field(default_factory=list)
 
     def __call__(self):
-        """Send, wait and report."""
+        """Send the load, wait for all answers and print the report."""
         from lycheetide.load import (
             make_report,
             plan_requests,
@@ -385,7 +390,7 @@
     Parameters
     ----------
     command : object
-        What to do.
+        Command to run.
     """
 
     command: cappa.Subcommands[
--- a/lycheetide/cli/_node.py
+++ b/lycheetide/cli/_node.py
@@ -1,40 +1,40 @@
 """Run a node from its settings file.
 
-Nothing here loads the command line's library: with what it brings along it takes 6 MB,
-a fifth of a relay's memory, in each node for as long as it runs.
+This module doesn't import the command-line library (cappa). With its dependencies it
+would take 6 MB, a fifth of a relay's memory, in each node for as long as it runs.
 """
 
 import sys
 
 import anyio
 
-from lycheetide.cli._exits import EXIT_FAULTS, print_findings
+from lycheetide.cli._exits import EXIT_INVALID, print_findings
 from lycheetide.metrics import configure_logging
 from lycheetide.settings import RelaySettings, read_settings
 
 
 def load_settings(path):
-    """Read settings, or print every finding and exit."""
+    """Read a settings file; print all findings and exit if it is invalid."""
     try:
         return read_settings(path)
     except ExceptionGroup as group:
         print_findings(group.exceptions)
     except OSError as error:
         print(f"{path}: {error.strerror}", file=sys.stderr)
-    raise SystemExit(EXIT_FAULTS)
+    raise SystemExit(EXIT_INVALID)
 
 
-def run_from_file(path):
-    """Run the node that a settings file describes, until SIGTERM."""
+def run_node_from_file(path):
+    """Run the node that a settings file describes until SIGTERM."""
     settings = load_settings(path)
     if isinstance(settings, RelaySettings):
         _run_relay(settings, path)
     else:
-        _run_own(settings)
+        _run_engine_node(settings)
 
 
 def _run_relay(settings, path):
-    """Run in front of replicas that register themselves on a platform."""
+    """Run a relay in front of replicas that register themselves on a platform."""
     from lycheetide import platform
     from lycheetide.relay import run_relay
 
@@ -50,8 +50,8 @@
     anyio.run(run)
 
 
-def _run_own(settings):
-    """Run in front of the product's own engines."""
+def _run_engine_node(settings):
+    """Run a node in front of the product's own engines."""
     from lycheetide.node import CannotListen, run_node
 
     configure_logging(level=settings.log_level, node=settings.name)
@@ -60,4 +60,4 @@
     except* CannotListen as group:
         for error in group.exceptions:
             print(error, file=sys.stderr)
-        raise SystemExit(EXIT_FAULTS) from None
+        raise SystemExit(EXIT_INVALID) from None
--- a/lycheetide/cli/tests/test_main.py
+++ b/lycheetide/cli/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command line and the one binary, as an operator uses them."""
+"""The command line and the binary as an operator uses them."""
 
 import json
 import os
@@ -34,7 +34,7 @@
 
 
 def run(*arguments, program=(sys.executable, "-m", "lycheetide")):
-    """Run the command line and return what came of it."""
+    """Run the command line and return its exit code and output."""
     return subprocess.run(
         [*program, *arguments], capture_output=True, text=True, check=False, cwd=ROOT
     )
@@ -53,7 +53,7 @@
     return path
 
 
-def test_check_reports_all_five_faults_with_their_places(tmp_path):
+def test_check_reports_all_five_errors_with_their_lines(tmp_path):
     path = tmp_path / "node.ini"
     path.write_text(BROKEN_SETTINGS)
     result = run("check", str(path))
@@ -71,7 +71,7 @@
     assert (result.returncode, result.stderr) == (0, "")
 
 
-def test_check_reports_all_faults_of_a_configuration(tmp_path):
+def test_check_reports_all_errors_of_a_configuration(tmp_path):
     builder = FleetBuilder()
     builder.add_model("assistant")
     builder.add_failure_domain("cork-a", region="munster")
@@ -88,30 +88,30 @@
     assert "[classes/quote] aging_s: got -1.0" in result.stderr
 
 
-def test_missing_files_and_nodes_are_told_apart(tmp_path):
+def test_missing_file_and_unreachable_node_have_different_exit_codes(tmp_path):
     assert run("check", str(tmp_path / "none.ini")).returncode == 2
     gone = run("status", "--node", f"127.0.0.1:{find_port()}")
     assert gone.returncode == 1
-    assert "gives no answer" in gone.stdout + gone.stderr
+    assert "did not answer" in gone.stdout + gone.stderr
 
 
-def test_addresses_in_use_are_all_told(tmp_path):
+def test_all_addresses_in_use_are_reported(tmp_path):
     path = write_settings(tmp_path)
-    taken = []
+    listeners = []
     for line in path.read_text().splitlines():
         if "_address" in line and "operator" not in line:
             listener = socket.create_server(("127.0.0.1", int(line.split(":")[1])))
-            taken.append(listener)
+            listeners.append(listener)
     result = run("node", "--settings", str(path))
-    for listener in taken:
+    for listener in listeners:
         listener.close()
     assert result.returncode == 2
     assert result.stderr.count("Address already in use") == 2
 
 
 @pytest.mark.skipif(not BINARY.exists(), reason="make binary builds it first")
-def test_the_binary_starts_no_other_process_and_unpacks_nothing(tmp_path):
-    """Hosts have no disks, and a process may start no other."""
+def test_binary_starts_no_process_and_unpacks_no_files(tmp_path):
+    """Hosts have no disks, and processes must not start other processes."""
     version = run("--version", program=[str(BINARY)])
     assert version.stdout.strip() == run("--version").stdout.strip()
     before = set(Path("/tmp").iterdir())
