--- a/lycheetide/cli/_main.py
+++ b/lycheetide/cli/_main.py
@@ -306,7 +306,7 @@
 
 @cappa.command(
     name="load",
-    help="Send a random load of prompts of mixed lengths and report latencies.",
+    help="Send a seeded random load of prompts of mixed lengths and report latencies.",
     description="Example: lycheetide load http://10.0.0.1:8080 --token secret "
     "--model assistant --requests 200 --rate 20 --seed 7 --plot load.png",
 )
@@ -350,11 +350,11 @@
     def __call__(self):
         """Send the load, wait for all answers and print the report."""
         from lycheetide.load import (
+            format_report,
             make_report,
             plan_requests,
-            print_table,
             run_load,
-            save_plot,
+            save_latency_plot,
         )
 
         short_class, huge_class = self.classes or ("quote", "archive")
@@ -372,12 +372,12 @@
 
         outcomes = anyio.run(send)
         report = make_report(outcomes, seed=self.seed)
-        for line in print_table(report):
+        for line in format_report(report):
             print(line)
         if self.json_path:
             Path(self.json_path).write_text(json.dumps(report, indent=2) + "\n")
         if self.plot_path:
-            save_plot(outcomes, self.plot_path)
+            save_latency_plot(outcomes, self.plot_path)
 
 
 @cappa.command(
--- a/lycheetide/load/__init__.py
+++ b/lycheetide/load/__init__.py
@@ -1,15 +1,15 @@
-"""Send prompts of mixed lengths to nodes and report what came back."""
+"""Load generator: sends prompts of mixed lengths to nodes and reports latencies."""
 
-from lycheetide.load._drive import Outcome, run_load
-from lycheetide.load._mix import PlannedRequest, plan_requests
-from lycheetide.load._report import make_report, print_table, save_plot
+from lycheetide.load._client import RequestResult, run_load
+from lycheetide.load._plan import PlannedRequest, plan_requests
+from lycheetide.load._report import format_report, make_report, save_latency_plot
 
 __all__ = [
-    "Outcome",
     "PlannedRequest",
+    "RequestResult",
+    "format_report",
     "make_report",
     "plan_requests",
-    "print_table",
     "run_load",
-    "save_plot",
+    "save_latency_plot",
 ]
--- a/lycheetide/load/_drive.py
+++ b/lycheetide/load/_client.py
@@ -1,4 +1,4 @@
-"""Send a planned load and time each answer."""
+"""Send a planned load and measure the latencies of each answer."""
 
 import itertools
 import time
@@ -8,67 +8,67 @@
 import httpx
 import msgspec
 
-ANSWER_S = 600.0
-DATA = "data: "
-DONE = "data: [DONE]"
+REQUEST_TIMEOUT_S = 600.0
+SSE_DATA_PREFIX = "data: "
+SSE_DONE_LINE = "data: [DONE]"
 
 
 @dataclass(frozen=True)
-class Outcome:
-    """What became of one request.
+class RequestResult:
+    """Result of one request.
 
     Parameters
     ----------
     planned : PlannedRequest
-        The request.
+        The request as planned.
     outcome : str
         "answered", "not_run", "failed" or "unknown".
     reason : str
-        Why there was no answer.
-    sent_s, first_s, total_s : float
-        From the load's start to the sending, and from there to the first token and
-        to the end.
-    gaps_s : tuple of float
-        The times between tokens.
+        Why there was no answer; empty if there was one.
+    sent_s, first_token_s, total_s : float
+        Time from the start of the load until the request was sent, and from then until
+        the first token and until the end.
+    token_gaps_s : tuple of float
+        Times between successive tokens.
     """
 
     planned: object
     outcome: str
     reason: str
     sent_s: float
-    first_s: float
+    first_token_s: float
     total_s: float
-    gaps_s: tuple[float, ...] = ()
+    token_gaps_s: tuple[float, ...] = ()
 
 
 async def run_load(urls, plan, *, token, model, verify=True):
-    """Send all requests when they are due and wait for their ends.
+    """Send all requests at their planned times and wait until all have ended.
 
     Parameters
     ----------
     urls : sequence of str
-        The nodes' addresses, used in turn.
+        URLs of the nodes, used in turn.
     plan : iterable of PlannedRequest
-        What to send.
+        Requests to send.
     token : str
-        The customer's token.
+        Token of the customer.
     model : str
-        The model.
+        Name of the model.
     verify : bool or str, default=True
-        As httpx takes it, for nodes with TLS.
+        TLS verification, as in ``httpx.AsyncClient``.
 
     Returns
     -------
-    list of Outcome
-        In the order of the plan.
+    list of RequestResult
+        Results in the order of the plan.
     """
     planned = list(plan)
-    outcomes: list[Outcome | None] = [None] * len(planned)
+    outcomes: list[RequestResult | None] = [None] * len(planned)
     limits = httpx.Limits(max_connections=1000, max_keepalive_connections=200)
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     async with (
         httpx.AsyncClient(
-            timeout=ANSWER_S, limits=limits, verify=verify, trust_env=False
+            timeout=REQUEST_TIMEOUT_S, limits=limits, verify=verify, trust_env=False
         ) as http,
         anyio.create_task_group() as group,
     ):
@@ -76,17 +76,17 @@
         async def send(index, request):
             url = urls[index % len(urls)]
             outcomes[index] = await _send(
-                http, url, request, token=token, model=model, begun_s=begun_s
+                http, url, request, token=token, model=model, started_s=started_s
             )
 
         for index, request in enumerate(planned):
-            await anyio.sleep(max(0.0, begun_s + request.at_s - time.monotonic()))
+            await anyio.sleep(max(0.0, started_s + request.at_s - time.monotonic()))
             group.start_soon(send, index, request)
     return [outcome for outcome in outcomes if outcome is not None]
 
 
-async def _send(http, url, request, *, token, model, begun_s):
-    """Send one request and time its answer."""
+async def _send(http, url, request, *, token, model, started_s):
+    """Send one request and measure the latencies of its answer."""
     body = {
         "model": model,
         "prompt": f"{request.seed:08d}" + "abcd" * (request.prompt_tokens - 2),
@@ -100,7 +100,7 @@
     }
     content = msgspec.json.encode(body)
     sent_s = time.monotonic()
-    stamps: list[float] = []
+    token_times_s: list[float] = []
     outcome, reason = "unknown", "connection"
     try:
         async with http.stream(
@@ -109,32 +109,40 @@
             if response.status_code >= 400:
                 outcome, reason = _read_error(await response.aread())
             else:
-                outcome, reason = await _read_stream(response, stamps)
+                outcome, reason = await _read_stream(response, token_times_s)
     except httpx.HTTPError as error:
         reason = type(error).__name__
     ended_s = time.monotonic()
-    gaps_s = tuple(later - earlier for earlier, later in itertools.pairwise(stamps))
-    first_s = stamps[0] - sent_s if stamps else 0.0
-    return Outcome(
-        request, outcome, reason, sent_s - begun_s, first_s, ended_s - sent_s, gaps_s
+    token_gaps_s = tuple(
+        later - earlier for earlier, later in itertools.pairwise(token_times_s)
+    )
+    first_token_s = token_times_s[0] - sent_s if token_times_s else 0.0
+    return RequestResult(
+        request,
+        outcome,
+        reason,
+        sent_s - started_s,
+        first_token_s,
+        ended_s - sent_s,
+        token_gaps_s,
     )
 
 
-async def _read_stream(response, stamps):
-    """Read a streamed answer; put a stamp for each token into ``stamps``."""
+async def _read_stream(response, token_times_s):
+    """Read a streamed answer and append the time of each token to ``token_times_s``."""
     async for line in response.aiter_lines():
-        if line == DONE:
+        if line == SSE_DONE_LINE:
             return "answered", ""
-        if not line.startswith(DATA):
+        if not line.startswith(SSE_DATA_PREFIX):
             continue
         if line.startswith('data: {"error"'):
-            return _read_error(line[len(DATA) :])
-        stamps.append(time.monotonic())
+            return _read_error(line[len(SSE_DATA_PREFIX) :])
+        token_times_s.append(time.monotonic())
     return "unknown", "cut"
 
 
 def _read_error(content):
-    """Return the outcome and the reason of an error body."""
+    """Return the outcome and the reason in an error body."""
     try:
         error = msgspec.json.decode(content)["error"]
         return error["outcome"], error["reason"]
