--- a/lycheetide/__init__.py
+++ b/lycheetide/__init__.py
@@ -1,4 +1,4 @@
-"""Serve language-model prompts of very different lengths."""
+"""Serving layer for language-model prompts of very different lengths."""
 
 from lycheetide._version import __version__
 
--- a/lycheetide/__main__.py
+++ b/lycheetide/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line as ``python -m lycheetide``."""
+"""Entry point of ``python -m lycheetide``."""
 
 from lycheetide.cli import main
 
--- a/lycheetide/losses/tests/__init__.py
+++ b/lycheetide/losses/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the loss analysis."""
+"""Tests of lycheetide.losses."""
--- a/lycheetide/outcomes/__init__.py
+++ b/lycheetide/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""What can become of a request, as typed errors with a reason."""
+"""Errors of requests that end without an answer: outcomes and reasons."""
 
 from lycheetide.outcomes._errors import (
     Failed,
--- a/lycheetide/outcomes/_errors.py
+++ b/lycheetide/outcomes/_errors.py
@@ -1,4 +1,4 @@
-"""The three ways in which a request ends without its answer."""
+"""Errors for the three outcomes of a request that ends without an answer."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of the work behind a request."""
+    """Whether a request that ended without an answer was executed."""
 
     NOT_RUN = "not_run"
     FAILED = "failed"
@@ -14,18 +14,18 @@
 
 
 class RequestError(Exception):
-    """A request that ended without its answer.
+    """Base class of errors that end a request without an answer.
 
     Parameters
     ----------
     reason : Reason
-        Why it ended so.
+        Why the request ended.
     message : str
-        One sentence for the caller.
+        Explanation for the caller, in one sentence.
     retry_after_s : float or None, default=None
-        When asking again may help; None where it can't.
+        Time after which a retry may succeed; None if a retry can't help.
     status : int, default=503
-        The HTTP status that the caller gets.
+        HTTP status of the response to the caller.
     """
 
     outcome = Outcome.FAILED
@@ -39,18 +39,18 @@
 
 
 class NotRun(RequestError):
-    """No upstream has started the request and none can start it later."""
+    """No upstream has started the request, and none can start it later."""
 
     outcome = Outcome.NOT_RUN
 
 
 class Failed(RequestError):
-    """An upstream may have worked on the request; its effect can be repeated."""
+    """An upstream may have executed the request, which is safe to repeat."""
 
     outcome = Outcome.FAILED
 
 
 class OutcomeUnknown(RequestError):
-    """A request that may not be repeated may or may not have run."""
+    """A request that isn't safe to repeat may or may not have been executed."""
 
     outcome = Outcome.UNKNOWN
--- a/lycheetide/outcomes/_reasons.py
+++ b/lycheetide/outcomes/_reasons.py
@@ -1,14 +1,14 @@
-"""The reasons of refusals and retries; each has a counter of its own."""
+"""Reasons of failed requests and of retries; each reason has its own counter."""
 
 from enum import StrEnum
 
 
 class Reason(StrEnum):
-    """Why a request did not get its answer.
+    """Why a request ended without an answer.
 
     Notes
     -----
-    ``docs/OPERATIONS.md`` lists what an operator does about each.
+    ``docs/OPERATIONS.md`` describes what an operator can do about each reason.
     """
 
     BAD_BODY = "bad_body"
@@ -39,7 +39,7 @@
 
 
 class RetryReason(StrEnum):
-    """Why an attempt was followed by another."""
+    """Why a failed attempt was retried."""
 
     UPSTREAM_REFUSED = "upstream_refused"
     UPSTREAM_BROKE = "upstream_broke"
--- a/lycheetide/outcomes/tests/__init__.py
+++ b/lycheetide/outcomes/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this subpackage."""
+"""Tests of lycheetide.outcomes."""
