--- a/lycheetide/charts/tests/__init__.py
+++ b/lycheetide/charts/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of lycheetide.charts."""
+"""Tests of the package lycheetide.charts."""
--- a/lycheetide/cli/_main.py
+++ b/lycheetide/cli/_main.py
@@ -215,7 +215,7 @@
     plot_path: Annotated[str, cappa.Arg(long="--plot", help="draw a PNG")] = ""
     probes: Annotated[
         list[str],
-        cappa.Arg(long="--probe", help="a route that only probes; counted apart"),
+        cappa.Arg(long="--probe", help="a route of probes only; counted separately"),
     ] = field(default_factory=list)
 
     def __call__(self):
--- a/lycheetide/cli/tests/__init__.py
+++ b/lycheetide/cli/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of lycheetide.cli."""
+"""Tests of the package lycheetide.cli."""
--- a/lycheetide/load/tests/__init__.py
+++ b/lycheetide/load/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of lycheetide.load."""
+"""Tests of the package lycheetide.load."""
--- a/lycheetide/losses/tests/__init__.py
+++ b/lycheetide/losses/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of lycheetide.losses."""
+"""Tests of the package lycheetide.losses."""
--- a/lycheetide/losses/tests/test_account.py
+++ b/lycheetide/losses/tests/test_account.py
@@ -21,19 +21,23 @@
 
 
 def make_placement(at_s, request, replica="r1", **fields):
-    known = {"part_ms": 20, "expected_ms": 60, "prompt_tokens": 5_000, "writers": 0,
+    defaults = {"part_ms": 20, "expected_ms": 60, "prompt_tokens": 5_000, "writers": 0,
              "slots": 8, "readers": []}  # fmt: skip
     return make_line(
-        at_s, "A prompt is placed.", request=request, replica=replica, **known | fields
+        at_s,
+        "A prompt is placed.",
+        request=request,
+        replica=replica,
+        **defaults | fields,
     )
 
 
 def make_end(at_s, request, outcome="answered.200", **fields):
-    known = {"took_ms": 1_000, "target_ms": 300, "gap_ms": 200, "events": 20,
+    defaults = {"took_ms": 1_000, "target_ms": 300, "gap_ms": 200, "events": 20,
              "first_ms": 100, "longest_pause_ms": 50, "longest_pause_at_ms": 500,
              "route": "quick", "customer": "acme"}  # fmt: skip
     return make_line(
-        at_s, "A request ended.", request=request, outcome=outcome, **known | fields
+        at_s, "A request ended.", request=request, outcome=outcome, **defaults | fields
     )
 
 
--- a/lycheetide/metrics/tests/__init__.py
+++ b/lycheetide/metrics/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of lycheetide.metrics."""
+"""Tests of the package lycheetide.metrics."""
--- a/lycheetide/outcomes/tests/__init__.py
+++ b/lycheetide/outcomes/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of lycheetide.outcomes."""
+"""Tests of the package lycheetide.outcomes."""
