--- a/lycheetide/cli/_main.py
+++ b/lycheetide/cli/_main.py
@@ -152,7 +152,7 @@
         str, cappa.Arg(long="--node", help="a node's operator address, ip:port")
     ] = ""
     logs: Annotated[
-        list[str], cappa.Arg(long="--logs", num_args=-1, help="saved logs")
+        list[str], cappa.Arg(long="--logs", num_args=-1, help="paths of saved logs")
     ] = field(default_factory=list)
 
     def __call__(self):
@@ -212,7 +212,7 @@
 
     logs: list[str]
     as_json: Annotated[bool, cappa.Arg(long="--json", help="print JSON")] = False
-    plot_path: Annotated[str, cappa.Arg(long="--plot", help="draw a PNG")] = ""
+    plot_path: Annotated[str, cappa.Arg(long="--plot", help="write a plot as PNG")] = ""
     probes: Annotated[
         list[str],
         cappa.Arg(long="--probe", help="a route of probes only; counted separately"),
@@ -250,7 +250,7 @@
 
     logs: list[str]
     as_json: Annotated[bool, cappa.Arg(long="--json", help="print JSON")] = False
-    plot_path: Annotated[str, cappa.Arg(long="--plot", help="draw a PNG")] = ""
+    plot_path: Annotated[str, cappa.Arg(long="--plot", help="write a plot as PNG")] = ""
 
     def __call__(self):
         """Read the logs and print the usage."""
@@ -331,20 +331,22 @@
 
     urls: list[str]
     token: Annotated[str, cappa.Arg(long=True, help="the customer's token")]
-    model: Annotated[str, cappa.Arg(long=True, help="the model")]
-    requests: Annotated[int, cappa.Arg(long=True, help="how many")] = 100
-    rate: Annotated[float, cappa.Arg(long=True, help="how many a second")] = 10.0
-    seed: Annotated[int, cappa.Arg(long=True, help="the seed")] = 0
-    longest: Annotated[int, cappa.Arg(long=True, help="longest prompt, tokens")] = (
+    model: Annotated[str, cappa.Arg(long=True, help="name of the model")]
+    requests: Annotated[int, cappa.Arg(long=True, help="number of requests")] = 100
+    rate: Annotated[float, cappa.Arg(long=True, help="requests per second")] = 10.0
+    seed: Annotated[int, cappa.Arg(long=True, help="random seed")] = 0
+    longest: Annotated[int, cappa.Arg(long=True, help="longest prompt in tokens")] = (
         1_000_000
     )
     json_path: Annotated[
         str, cappa.Arg(long="--json", help="write the report as JSON")
     ] = ""
-    plot_path: Annotated[str, cappa.Arg(long="--plot", help="draw a PNG")] = ""
+    plot_path: Annotated[str, cappa.Arg(long="--plot", help="write a plot as PNG")] = ""
     classes: Annotated[
         list[str],
-        cappa.Arg(long="--classes", num_args=2, help="short class, then huge class"),
+        cappa.Arg(
+            long="--classes", num_args=2, help="classes of short and of huge prompts"
+        ),
     ] = field(default_factory=list)
 
     def __call__(self):
@@ -407,5 +409,5 @@
 
 def main():
     """Run the command line."""
-    version: cappa.Arg[str] = cappa.Arg(__version__, long=True, help="the version")
+    version: cappa.Arg[str] = cappa.Arg(__version__, long=True, help="show the version")
     cappa.invoke(Lycheetide, version=version)
