--- a/lycheetide/metrics/tests/test_logs.py
+++ b/lycheetide/metrics/tests/test_logs.py
@@ -63,7 +63,10 @@
 
 
 def test_long_line_is_cut_to_atomic_pipe_write(pipe):
-    """A line longer than the pipe takes at once would block or be torn."""
+    """A logged cause can hold a huge text.
+
+    A line longer than the pipe takes at once would block or be torn.
+    """
     reader, file = pipe
     logger, _ = make_logger(file, 1e9)
     logger.info("y" * 100_000)
