--- a/lycheetide/load/tests/__init__.py
+++ b/lycheetide/load/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this subpackage."""
+"""Tests of the package lycheetide.load."""
