--- a/lycheetide/platformlog/__init__.py
+++ b/lycheetide/platformlog/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: its log and its list of hosts."""
+"""Clients of the platform services: the log and the host list."""
 
 from lycheetide.platformlog._client import (
     LogBatch,
--- a/lycheetide/platformlog/_client.py
+++ b/lycheetide/platformlog/_client.py
@@ -1,4 +1,4 @@
-"""Read and append streams of the log service over HTTP."""
+"""HTTP client of the log service and of the host list."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,24 +8,26 @@
 
 from lycheetide.membership import Host
 
-READ_LIMIT = 1000
-ANSWER_S = 3.0
+MAX_READ_RECORDS = 1000
+RESPONSE_TIMEOUT_S = 3.0
 
 
 class LogUnavailable(Exception):
-    """The log did not answer; an append may have taken effect all the same."""
+    """The log gave no valid answer; an append may have taken effect anyway."""
 
 
 @dataclass(frozen=True)
 class LogBatch:
-    """What one read gave.
+    """Result of a read.
 
     Parameters
     ----------
-    first_retained, next_offset : int
-        The oldest record kept, and the offset that the next one will get.
+    first_retained : int
+        Offset of the oldest record that the log retains.
+    next_offset : int
+        Offset that the next record will get.
     records : tuple of (int, record)
-        In order.
+        Offsets and records, in order.
     """
 
     first_retained: int
@@ -34,50 +36,52 @@
 
 
 class LogClient:
-    """One log service.
+    """Client of the log service.
 
     Parameters
     ----------
     http : httpx.AsyncClient
-        The connections; the client's transport must not retry.
+        The HTTP client to use. Its transport must not retry.
     url : str
-        Where the log is.
+        Base URL of the log service.
     """
 
     def __init__(self, http, url):
         self.http = http
         self.url = url
 
-    async def read(self, stream, offset, *, wait_s=0.0, limit=READ_LIMIT):
-        """Read records from ``offset`` on, waiting up to ``wait_s`` for the first.
+    async def read(self, stream, offset, *, wait_s=0.0, limit=MAX_READ_RECORDS):
+        """Read records from ``offset`` on, and wait up to ``wait_s`` for the first one.
 
         Raises
         ------
         LogUnavailable
-            If there is no usable answer.
+            If there is no valid answer.
         """
         params = {"from": offset, "wait_s": wait_s, "limit": limit}
         try:
             response = await self.http.get(
                 f"{self.url}/streams/{stream}/records",
                 params=params,
-                timeout=ANSWER_S + wait_s,
+                timeout=RESPONSE_TIMEOUT_S + wait_s,
             )
             response.raise_for_status()
             body = msgspec.json.decode(response.content)
             records = tuple((row["offset"], row["value"]) for row in body["records"])
             return LogBatch(body["first_retained"], body["next_offset"], records)
         except (httpx.HTTPError, msgspec.MsgspecError, KeyError) as error:
-            raise LogUnavailable(f"reading {stream}: {error!r}") from error
+            raise LogUnavailable(
+                f"reading stream {stream} failed: {error!r}"
+            ) from error
 
     async def read_all(self, stream, offset):
-        """Read every record from ``offset`` to the end.
+        """Read all records from ``offset`` to the end.
 
         Returns
         -------
         LogBatch
-            With the oldest record kept as it was after the last read, so that
-            records dropped meanwhile are noticed.
+            Its ``first_retained`` is that of the last read, so that records which the
+            log dropped in the meantime are noticed.
         """
         records: list[tuple[int, Any]] = []
         position = offset
@@ -89,38 +93,45 @@
                 return LogBatch(batch.first_retained, batch.next_offset, tuple(records))
 
     async def append(self, stream, records):
-        """Append records in one call and return the first one's offset.
+        """Append records in one call and return the offset of the first one.
 
         Raises
         ------
         LogUnavailable
-            If there is no usable answer; the records may stand on the log or not.
+            If there is no valid answer; the records may or may not be on the log.
         """
         try:
             response = await self.http.post(
                 f"{self.url}/streams/{stream}/records",
                 content=msgspec.json.encode({"records": records}),
                 headers={"content-type": "application/json"},
-                timeout=ANSWER_S,
+                timeout=RESPONSE_TIMEOUT_S,
             )
             response.raise_for_status()
             return msgspec.json.decode(response.content)["first_offset"]
         except (httpx.HTTPError, msgspec.MsgspecError, KeyError) as error:
-            raise LogUnavailable(f"appending to {stream}: {error!r}") from error
+            raise LogUnavailable(
+                f"appending to stream {stream} failed: {error!r}"
+            ) from error
 
 
 async def read_hosts(http, url):
-    """Read the platform's list of hosts.
+    """Read the host list of the platform.
 
     Returns
     -------
     tuple of Host
-        As the platform sees them; it lags.
+        The hosts as the platform knows them; the list lags behind the actual state.
+
+    Raises
+    ------
+    LogUnavailable
+        If there is no valid answer.
     """
     try:
-        response = await http.get(f"{url}/hosts", timeout=ANSWER_S)
+        response = await http.get(f"{url}/hosts", timeout=RESPONSE_TIMEOUT_S)
         response.raise_for_status()
         rows = msgspec.json.decode(response.content)["hosts"]
         return msgspec.convert(rows, tuple[Host, ...])
     except (httpx.HTTPError, msgspec.MsgspecError, KeyError) as error:
-        raise LogUnavailable(f"reading the host list: {error!r}") from error
+        raise LogUnavailable(f"reading the host list failed: {error!r}") from error
--- a/lycheetide/platformlog/_writer.py
+++ b/lycheetide/platformlog/_writer.py
@@ -1,4 +1,4 @@
-"""Group commit: records that come while an append is on its way share the next one."""
+"""Group commit: records that arrive during an append share the next append."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -7,12 +7,12 @@
 
 from lycheetide.platformlog._client import LogUnavailable
 
-LARGEST_BATCH = 256
+MAX_BATCH_RECORDS = 256
 
 
 @dataclass
-class _Waiting:
-    """One record and whoever waits for its offset."""
+class _WaitingRecord:
+    """A record to append, and the event that reports its offset or error."""
 
     record: Any
     done: anyio.Event = field(default_factory=anyio.Event)
@@ -21,19 +21,27 @@
 
 
 class GroupWriter:
-    """Appends to one stream, one append at a time.
+    """Appends records to one stream in batches, with one append at a time.
 
     Parameters
     ----------
     log : LogClient
-        The log.
+        The log service.
     stream : str
-        The stream.
+        Name of the stream.
+
+    Attributes
+    ----------
+    next_offset : int
+        Lower bound of the end of the stream, raised by each append. Readers of the
+        stream may raise it, too.
+    appends, records : int
+        Number of successful appends, and of the records in them.
 
     Notes
     -----
-    The log takes a few hundred appends a second for the whole fleet; one append a
-    record would spend that on bookings alone.
+    The log sustains a few hundred appends per second for the whole fleet. One append
+    per record would use that up for bookings alone.
     """
 
     def __init__(self, log, stream):
@@ -46,14 +54,14 @@
         self._changed = anyio.Event()
 
     async def append(self, record):
-        """Append one record and return its offset.
+        """Append a record with the next batch and return its offset.
 
         Raises
         ------
         LogUnavailable
-            If the append's answer did not come; the record may stand there.
+            If the append got no valid answer; the record may be on the log.
         """
-        waiting = _Waiting(record)
+        waiting = _WaitingRecord(record)
         self._waiting.append(waiting)
         self._changed.set()
         try:
@@ -66,17 +74,17 @@
         return waiting.offset
 
     async def run(self):
-        """Append what waits, for ever."""
+        """Append waiting records, for ever."""
         while True:
             if not self._waiting:
                 self._changed = anyio.Event()
                 await self._changed.wait()
-            batch = self._waiting[:LARGEST_BATCH]
-            del self._waiting[:LARGEST_BATCH]
+            batch = self._waiting[:MAX_BATCH_RECORDS]
+            del self._waiting[:MAX_BATCH_RECORDS]
             await self._append_batch(batch)
 
     async def _append_batch(self, batch):
-        """Append one batch and wake those who wait."""
+        """Append one batch and notify its waiting callers."""
         try:
             first = await self.log.append(
                 self.stream, [waiting.record for waiting in batch]
