--- a/lycheetide/node/__init__.py
+++ b/lycheetide/node/__init__.py
@@ -1,4 +1,4 @@
-"""One node: what an entry host runs."""
+"""The server process that each entry host runs."""
 
 from lycheetide.node._run import CannotListen, run_node
 
--- a/lycheetide/node/_operator.py
+++ b/lycheetide/node/_operator.py
@@ -1,4 +1,8 @@
-"""The operators' door: what a node owns, knows, refuses and did; on its own address."""
+"""HTTP API for operators, on an address of its own.
+
+It serves the status of the node, the configuration in force, verdicts on configuration
+records, and the recorded steps of a request.
+"""
 
 from dataclasses import asdict
 
@@ -12,7 +16,7 @@
 
 
 def make_operator_app(node):
-    """Return the HTTP application for operators."""
+    """Return the ASGI application for operators."""
 
     async def status(request):
         return JSONResponse(describe_node(node, now_s=read_clock()))
@@ -28,13 +32,13 @@
     async def verdict(request):
         found = node.verdicts.get(request.path_params["record_id"])
         if found is None:
-            return JSONResponse({"error": "this node has not folded it"}, 404)
+            return JSONResponse({"error": "this node has not applied the record"}, 404)
         return JSONResponse(asdict(found))
 
     async def explain(request):
         steps = node.explanations.find(request.path_params["request_id"])
         if not steps:
-            return JSONResponse({"error": "this node does not know it"}, 404)
+            return JSONResponse({"error": "this node has no steps of the request"}, 404)
         first_s = steps[0].at_s
         rows = [
             {"after_ms": round((s.at_s - first_s) * 1000, 2), "what": s.what}
@@ -54,7 +58,7 @@
 
 
 def describe_node(node, *, now_s):
-    """Return what ``lycheetide status`` shows."""
+    """Return the node status that ``lycheetide status`` shows."""
     membership = node.membership
     return {
         "node": node.own_id,
@@ -81,7 +85,7 @@
 
 
 def describe_cell(owned):
-    """Return what one owned cell looks like."""
+    """Return the status of an owned cell."""
     cell = owned.cell
     return {
         "cell": cell.name,
--- a/lycheetide/node/_services.py
+++ b/lycheetide/node/_services.py
@@ -1,4 +1,4 @@
-"""Serve idempotent calls of plain services."""
+"""Serve idempotent calls (lookups) of services without prompts."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -31,25 +31,25 @@
 
 @dataclass
 class LookupRun:
-    """How far one lookup has come.
+    """Progress of one lookup.
 
     Parameters
     ----------
     admitted : Admitted
         The request.
     operation : Operation
-        What is called.
+        The operation to call.
     body : bytes
-        The caller's body.
+        Body of the request.
     ever_started : bool
-        Whether some upstream may have begun it.
+        Whether any upstream may have started the call.
     attempts : int
-        The attempts sent.
+        Number of failed attempts.
     avoid : list of str
-        Replicas on which an attempt broke.
+        Replicas on which an attempt failed other than by a refusal.
     successor : (HeldPermit, float) or None
-        The permit for the next attempt, as ``get_permit`` returns it, where the
-        present one was ended for it.
+        The permit for the next attempt, as ``get_permit`` returns it, if the current
+        attempt was cancelled in favour of that one.
     """
 
     admitted: Any
@@ -62,7 +62,7 @@
 
 
 async def serve_lookup(node, admitted, operation, body):
-    """Serve a call that may be repeated.
+    """Serve an idempotent call, with retries.
 
     Parameters
     ----------
@@ -71,19 +71,19 @@
     admitted : Admitted
         The request.
     operation : Operation
-        What is called.
+        The operation to call.
     body : bytes
-        The caller's body.
+        Body of the request.
 
     Returns
     -------
     ServiceAnswer
-        What the service answered.
+        The answer of the service.
 
     Raises
     ------
     RequestError
-        By what is known of the work.
+        ``NotRun`` if no upstream has started the call, ``Failed`` otherwise.
     """
     run = LookupRun(admitted, operation, body)
     with anyio.CancelScope(deadline=admitted.deadline_s):
@@ -104,7 +104,7 @@
 
 
 async def _attempt_until_done(node, run):
-    """Make attempts until one is answered."""
+    """Send the call until an attempt is answered or no retry is allowed."""
     while True:
         held, asked_s = take_successor(run) or await get_permit(node, _make_wish(run))
         replicas = held.permit.replicas
@@ -133,7 +133,7 @@
 
 
 def _make_wish(run):
-    """Return what the next attempt needs a permit for."""
+    """Return the request for the permit of the next attempt."""
     return Wish(
         run.admitted,
         run.operation.service,
@@ -144,7 +144,7 @@
 
 
 async def _send(node, run, replicas):
-    """Send one call; it ends in silence only when it has a successor."""
+    """Send one call; it is cancelled for silence only if there is a successor."""
     silence = Silence()
     call = ServiceCall(run.admitted.request_id, run.operation.name, run.body)
     upstream = node.fleet.upstreams[replicas[0]]
@@ -164,7 +164,7 @@
 
 
 def _check_retry(node, run, error):
-    """Raise the caller's error unless there is to be another attempt."""
+    """Raise the error for the caller unless another attempt is allowed."""
     if decide_next(node, run, error) is RetryDecision.RETRY:
         node.counters.add_retry(find_retry_reason(error))
         return
--- a/lycheetide/node/tests/conftest.py
+++ b/lycheetide/node/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes for the tests of this subpackage."""
+"""Fixtures that run fleets of real processes."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    """A small Forge Works fleet that is ready, shared by a module's tests."""
+    """A small Forge Works fleet that is ready, shared by the tests of a module."""
     with LocalFleet() as local:
         make_forge_works(local)
         local.wait_ready()
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def own_fleet():
-    """A small fleet of one test's own, which the test may break."""
+    """A small fleet for one test only, which may break it."""
     with LocalFleet() as local:
         make_forge_works(local)
         local.wait_ready()
--- a/lycheetide/node/tests/test_ports.py
+++ b/lycheetide/node/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Test processes that look for ports at the same moment."""
+"""Test processes that search for free ports concurrently."""
 
 import itertools
 import subprocess
@@ -6,7 +6,7 @@
 
 from standins import local
 
-TAKE_FIVE = """
+FIND_FIVE_PORTS = """
 import itertools, sys
 from standins import local
 local.PORTS = itertools.cycle(range(32_100, 32_120))
@@ -16,14 +16,14 @@
 
 
 def test_two_test_processes_are_not_given_the_same_port(monkeypatch):
-    """Two test workers look for free ports in the same range.
+    """Two test workers search for free ports in the same range.
 
-    Each found the same port free, since neither's node had bound it yet on a busy
-    machine, and the second node ended with "Address already in use".
+    Both found the same port free, because on a busy machine neither worker's node had
+    bound it yet, and the second node ended with "Address already in use".
     """
     monkeypatch.setattr(local, "PORTS", itertools.cycle(range(32_100, 32_120)))
     with subprocess.Popen(
-        [sys.executable, "-c", TAKE_FIVE],
+        [sys.executable, "-c", FIND_FIVE_PORTS],
         stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=local.ROOT, text=True,
     ) as other:  # fmt: skip
         assert other.stdout is not None and other.stdin is not None
--- a/lycheetide/node/tests/test_run.py
+++ b/lycheetide/node/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes."""
+"""Requests through a fleet of real processes, from caller to upstream."""
 
 from standins.callers import ask_prompt, book, count_runs, get_key, post, sum_held
 
--- a/lycheetide/node/tests/test_standin_engine.py
+++ b/lycheetide/node/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine counts what an engine would have in flight, and nothing else."""
+"""The stand-in engine counts exactly the requests that it has in flight."""
 
 import json
 
@@ -8,8 +8,8 @@
 from standins.engine import EngineSettings, make_app
 
 
-async def post_and_leave(app, path, body):
-    """Send a request whose caller has closed the connection behind it."""
+async def post_and_disconnect(app, path, body):
+    """Send a request whose caller disconnects right after sending it."""
     data = json.dumps(body).encode()
     messages = [
         {"type": "http.request", "body": data, "more_body": False},
@@ -26,7 +26,7 @@
 
 
 async def get_json(app, path):
-    """Return the decoded answer to a request."""
+    """Return the decoded response to a GET request."""
     parts = []
 
     async def receive():
@@ -57,15 +57,16 @@
 
 @pytest.mark.anyio
 async def test_a_caller_that_leaves_before_the_first_byte_is_not_counted_for_ever():
-    """On a busy machine a node gives a request up before the engine begins to answer.
+    """On a busy machine a node cancels a request before the engine starts to respond.
 
-    The engine counted it in flight for the rest of its life. Cold, it then fell over
-    under fewer requests than it bears, and a test blamed the nodes for that.
+    The stand-in engine counted such a request as in flight for ever. While cold, it
+    then failed under fewer requests than its limit, and a test took that for a fault of
+    the nodes.
     """
     app = make_app(EngineSettings(name="e", cold_s=60.0, cold_limit=2))
     body = {"request_id": "r", "attempt_id": "a", "prompt": "x" * 40, "max_tokens": 4}
     for _ in range(5):
-        await post_and_leave(app, "/v1/completions", body)
+        await post_and_disconnect(app, "/v1/completions", body)
     record = await get_json(app, "/record")
     assert len(record["starts"]) == 5
     assert record["worst_cold_in_flight"] == 1
