--- a/lycheetide/bookings/__init__.py
+++ b/lycheetide/bookings/__init__.py
@@ -1,10 +1,10 @@
-"""Requests that may run once at most: their keys and their claims on the log."""
+"""At-most-once requests (bookings): idempotency keys and claims on the log."""
 
 from lycheetide.bookings._claims import (
     Claim,
-    Decision,
+    ClaimDecision,
+    KeyStatus,
     OutcomeRecord,
-    Standing,
     decide,
     make_claim_record,
     make_outcome_record,
@@ -15,10 +15,10 @@
 __all__ = [
     "BookingKey",
     "Claim",
-    "Decision",
+    "ClaimDecision",
     "KeyMode",
+    "KeyStatus",
     "OutcomeRecord",
-    "Standing",
     "decide",
     "make_claim_record",
     "make_key",
--- a/lycheetide/bookings/_claims.py
+++ b/lycheetide/bookings/_claims.py
@@ -1,8 +1,8 @@
-"""Decide from the log's records who may run a key.
+"""Determine from the records on the log which node may run a key.
 
-The first claim that was not released wins, and nobody ever takes a claim over. So a
-node that was frozen between its claim and its dispatch does no harm: either it still
-runs the key, alone, or it releases it by a record.
+The first claim that was not released wins, and no other node ever takes a claim over.
+So a node that was frozen between its claim and its dispatch is safe: it either still
+runs the key, as the only node, or releases its claim by a record.
 """
 
 from dataclasses import dataclass
@@ -10,8 +10,14 @@
 from typing import Any
 
 
-class Standing(StrEnum):
-    """What the records say about a key, seen from one claim."""
+class KeyStatus(StrEnum):
+    """Status of a key according to the log, as seen from one claim.
+
+    ``MINE`` means that the claim is the first valid one, ``ELSEWHERE`` that another
+    node's claim is. ``RECORDED`` keys have an answer on the log. ``OTHER_BODY`` means
+    that the key was used with another body, and ``EXPIRED`` that the log may have
+    dropped records of the key. ``NOT_FOUND`` keys have no valid claim.
+    """
 
     MINE = "mine"
     RECORDED = "recorded"
@@ -23,16 +29,16 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """One node's wish to run a key.
+    """A node's claim to run a key.
 
     Parameters
     ----------
     claim_id : str
-        Never used twice; an append whose answer was lost is looked up by it.
+        Unique id, by which an append whose response was lost is looked up.
     key : str
-        The key.
+        The idempotency key.
     member_id : str
-        Who claims.
+        The node that claims the key.
     body_hash : str
         Hash of service, operation and body.
     """
@@ -45,7 +51,21 @@
 
 @dataclass(frozen=True)
 class OutcomeRecord:
-    """What the upstream answered for a key."""
+    """The upstream's answer to the run of a key.
+
+    Parameters
+    ----------
+    key : str
+        The idempotency key.
+    claim_id : str
+        Id of the claim under which the key ran.
+    body_hash : str
+        Hash of service, operation and body.
+    status : int
+        HTTP status of the answer.
+    body : object
+        Decoded body of the answer.
+    """
 
     key: str
     claim_id: str
@@ -55,29 +75,29 @@
 
 
 @dataclass(frozen=True)
-class Decision:
-    """What a node may do with a key.
+class ClaimDecision:
+    """What the log says about a key, and whether this node may run it.
 
     Parameters
     ----------
-    standing : Standing
-        What the records say.
+    key_status : KeyStatus
+        Status of the key according to the records.
     fencing_number : int
-        The own claim's offset plus one; for upstreams that check.
+        Offset of this node's claim plus one, for upstreams that check fencing numbers.
     holder_id : str
-        The member whose claim stands.
+        The member whose claim is valid.
     outcome : OutcomeRecord or None
         The recorded answer.
     """
 
-    standing: Standing
+    key_status: KeyStatus
     fencing_number: int = 0
     holder_id: str = ""
     outcome: OutcomeRecord | None = None
 
 
 def make_claim_record(claim):
-    """Return a claim as it stands on the log."""
+    """Return the log record of a claim."""
     return {
         "kind": "claim",
         "id": claim.claim_id,
@@ -88,12 +108,12 @@
 
 
 def make_release_record(claim):
-    """Return the record that gives a claim up before anything was sent."""
+    """Return the log record that releases a claim before anything was sent."""
     return {"kind": "release", "id": claim.claim_id, "key": claim.key}
 
 
 def make_outcome_record(outcome):
-    """Return an outcome as it stands on the log."""
+    """Return the log record of an outcome."""
     return {
         "kind": "outcome",
         "id": outcome.claim_id,
@@ -105,27 +125,27 @@
 
 
 def decide(records, claim, *, birth_offset, first_retained):
-    """Decide what may be done with a key.
+    """Determine the status of a key and whether a claim permits running it.
 
     Parameters
     ----------
     records : iterable of (int, record)
-        All records from the key's birth on, in order; later ones than the own claim
-        may be among them.
+        All records from ``birth_offset`` on, in order. Records after the claim may be
+        among them.
     claim : Claim
-        The own claim; it need not be among the records.
+        The claim to evaluate. It need not be among the records.
     birth_offset : int
-        From the key.
+        Offset of the log at which the key was issued, from the key.
     first_retained : int
-        The offset of the oldest record that the log still had when it was read.
+        Offset of the oldest record that the log still retained when it was read.
 
     Returns
     -------
-    Decision
-        ``MINE`` is the only one that lets the key run.
+    ClaimDecision
+        The key may run only if its status is ``KeyStatus.MINE``.
     """
     if first_retained > birth_offset:
-        return Decision(Standing.EXPIRED)
+        return ClaimDecision(KeyStatus.EXPIRED)
     claims = []
     released = set()
     outcome = None
@@ -140,24 +160,24 @@
         elif kind == "outcome" and outcome is None:
             outcome = record
     if outcome is not None:
-        return _tell_outcome(outcome, claim)
-    standing = [(o, r) for o, r in claims if r["id"] not in released]
-    if not standing:
-        return Decision(Standing.NOT_FOUND)
-    offset, first = standing[0]
+        return _make_outcome_decision(outcome, claim)
+    active = [(o, r) for o, r in claims if r["id"] not in released]
+    if not active:
+        return ClaimDecision(KeyStatus.NOT_FOUND)
+    offset, first = active[0]
     if first["id"] == claim.claim_id:
-        return Decision(Standing.MINE, offset + 1, claim.member_id)
+        return ClaimDecision(KeyStatus.MINE, offset + 1, claim.member_id)
     if first["body_hash"] != claim.body_hash:
-        return Decision(Standing.OTHER_BODY, holder_id=first["member"])
-    return Decision(Standing.ELSEWHERE, holder_id=first["member"])
+        return ClaimDecision(KeyStatus.OTHER_BODY, holder_id=first["member"])
+    return ClaimDecision(KeyStatus.ELSEWHERE, holder_id=first["member"])
 
 
-def _tell_outcome(record, claim):
-    """Return the recorded answer, unless it was given for another body."""
+def _make_outcome_decision(record, claim):
+    """Return the decision for a recorded answer; it may belong to another body."""
     if record["body_hash"] != claim.body_hash:
-        return Decision(Standing.OTHER_BODY)
+        return ClaimDecision(KeyStatus.OTHER_BODY)
     outcome = OutcomeRecord(
         record["key"], record["id"], record["body_hash"], record["status"],
         record["body"],
     )  # fmt: skip
-    return Decision(Standing.RECORDED, outcome=outcome)
+    return ClaimDecision(KeyStatus.RECORDED, outcome=outcome)
--- a/lycheetide/bookings/_keys.py
+++ b/lycheetide/bookings/_keys.py
@@ -1,9 +1,9 @@
-"""Idempotency keys that carry their birth and who may run them.
+"""Idempotency keys that hold their issue offset and which node may run them.
 
-A key is issued by a node before it is used. Its birth is an offset of the log and no
-clock: whoever holds all records from there on knows all that ever happened to the
-key. If keys carried no birth, a key whose record the log had dropped would look like
-a new one, and a buyer who asks again a day later would book twice.
+A node issues a key before the caller uses it. The key holds the log offset at that time
+rather than a clock time: all records from that offset on contain the complete history
+of the key. Without the offset, a key whose records the log has dropped would look like
+a new one, and a retry one day later would run a second time.
 """
 
 import secrets
@@ -11,15 +11,15 @@
 from enum import StrEnum
 
 RANDOM_BYTES = 12
-FORMAT = "lt1"
+KEY_FORMAT = "lt1"
 
 
 class KeyMode(StrEnum):
-    """How the node that gets a key makes sure that it runs once.
+    """How a key is kept from running twice.
 
-    ``CLAIMED`` keys are run by whichever node's claim comes first on the log.
-    ``HOME`` keys are issued while the log is out, and only the incarnation that
-    issued them ever runs them, so they need no log.
+    ``CLAIMED`` keys are run by the node whose claim is the first on the log. ``HOME``
+    keys are issued while the log is unreachable. Only the process that issued a home
+    key ever runs it, so that it does not need the log.
     """
 
     CLAIMED = "c"
@@ -28,20 +28,20 @@
 
 @dataclass(frozen=True)
 class BookingKey:
-    """What a key says.
+    """An idempotency key and what it holds.
 
     Parameters
     ----------
     text : str
         The key as the caller sends it.
     mode : KeyMode
-        How it is kept from running twice.
+        How the key is kept from running twice.
     birth_offset : int
-        The log's end, as the issuing node knew it; a smaller one is safe too.
+        End of the log as the issuing node knew it. A smaller offset is safe, too.
     issuer_id : str
-        The member id of the issuing node.
+        Member id of the issuing node.
     customer : str
-        Whom it was issued to.
+        The customer to which the key was issued.
     """
 
     text: str
@@ -51,53 +51,62 @@
     customer: str
 
 
-def make_key(*, mode, birth_offset, issuer_id, customer, draw=secrets.token_hex):
+def make_key(*, mode, birth_offset, issuer_id, customer, random_hex=secrets.token_hex):
     """Issue a key.
 
     Parameters
     ----------
     mode : KeyMode
-        How it will be kept from running twice.
+        How the key will be kept from running twice.
     birth_offset : int
-        An offset that the log's end has reached already.
-    issuer_id, customer : str
-        Who issues it to whom.
-    draw : callable, default=secrets.token_hex
+        An offset not beyond the end of the log.
+    issuer_id : str
+        Member id of the issuing node.
+    customer : str
+        The customer to which the key is issued.
+    random_hex : callable, default=secrets.token_hex
         Takes a number of bytes and returns random hexadecimal digits.
 
     Returns
     -------
     BookingKey
-        A key that nobody else has.
+        A unique key.
 
     Examples
     --------
     >>> key = make_key(mode=KeyMode.CLAIMED, birth_offset=7, issuer_id="n1/ab",
-    ...                customer="kestrel", draw=lambda count: "00" * count)
+    ...                customer="kestrel", random_hex=lambda count: "00" * count)
     >>> key.text
     'lt1~c~7~n1/ab~kestrel~000000000000000000000000'
     """
     text = "~".join(
-        [FORMAT, mode, str(birth_offset), issuer_id, customer, draw(RANDOM_BYTES)]
+        [
+            KEY_FORMAT,
+            mode,
+            str(birth_offset),
+            issuer_id,
+            customer,
+            random_hex(RANDOM_BYTES),
+        ]
     )
     return BookingKey(text, mode, birth_offset, issuer_id, customer)
 
 
 def parse_key(text):
-    """Read a key.
+    """Parse a key.
 
     Raises
     ------
     ValueError
-        If it was not issued by a node.
+        If the text does not have the format of a key that a node has issued.
     """
     parts = text.split("~")
     expected = "a key issued by POST /v1/keys"
-    if len(parts) != 6 or parts[0] != FORMAT:
+    if len(parts) != 6 or parts[0] != KEY_FORMAT:
         raise ValueError(expected)
-    _, mode, birth, issuer_id, customer, random_part = parts
-    if not birth.isascii() or not birth.isdigit():
+    _, mode, offset_text, issuer_id, customer, random_part = parts
+    if not offset_text.isascii() or not offset_text.isdigit():
         raise ValueError(expected)
     if len(random_part) != 2 * RANDOM_BYTES or mode not in set(KeyMode):
         raise ValueError(expected)
-    return BookingKey(text, KeyMode(mode), int(birth), issuer_id, customer)
+    return BookingKey(text, KeyMode(mode), int(offset_text), issuer_id, customer)
--- a/lycheetide/bookings/tests/test_claims.py
+++ b/lycheetide/bookings/tests/test_claims.py
@@ -1,4 +1,7 @@
-"""No order of claim, crash, lost answer, release and retention runs a key twice."""
+"""No order of claims, crashes, lost responses and releases runs a key twice.
+
+The log may drop old records at any time.
+"""
 
 import hypothesis.strategies as st
 import pytest
@@ -8,8 +11,8 @@
 from lycheetide.bookings import (
     Claim,
     KeyMode,
+    KeyStatus,
     OutcomeRecord,
-    Standing,
     decide,
     make_claim_record,
     make_key,
@@ -22,10 +25,10 @@
 
 
 class OneKey(RuleBasedStateMachine):
-    """Nodes that claim one key, crash, and run it only when they may.
+    """Nodes that claim one key, crash, and run it only when the log allows.
 
-    ``held`` are appends that have left a node and have not reached the log yet: their
-    answers are lost, and they take effect at any later moment.
+    ``delayed_appends`` are those that a node has sent and that have not reached the log
+    yet: their responses are lost, and they take effect at any later time.
     """
 
     def __init__(self):
@@ -33,32 +36,34 @@
         self.log = [{"kind": "claim", "key": "other", "id": "x", "member": "n",
                      "body_hash": "h"}]  # fmt: skip
         self.first_retained = 0
-        self.birth = 1
-        self.held = []
+        self.birth_offset = 1
+        self.delayed_appends = []
         self.claims: list[Claim | None] = [None] * NODES
-        self.mine = [False] * NODES
-        self.given_up = set()
-        self.lives = 0
+        self.may_run = [False] * NODES
+        self.released = set()
+        self.claim_count = 0
         self.runs = 0
         self.outcome_known = False
 
     @rule(node=st.integers(0, NODES - 1))
     def make_claim(self, node):
         if self.claims[node] is None:
-            self.lives += 1
-            self.claims[node] = Claim(f"c{self.lives}", "key", f"n{node}", "h")
+            self.claim_count += 1
+            self.claims[node] = Claim(f"c{self.claim_count}", "key", f"n{node}", "h")
 
     @rule(node=st.integers(0, NODES - 1), is_late=st.booleans())
     def append_claim(self, node, is_late):
         claim = self.claims[node]
         if claim is not None:
-            target = self.held if is_late else self.log
+            target = self.delayed_appends if is_late else self.log
             target.append(make_claim_record(claim))
 
     @rule(position=st.integers(0, 9))
     def late_append_takes_effect(self, position):
-        if self.held:
-            self.log.append(self.held.pop(position % len(self.held)))
+        if self.delayed_appends:
+            self.log.append(
+                self.delayed_appends.pop(position % len(self.delayed_appends))
+            )
 
     @rule(node=st.integers(0, NODES - 1))
     def read(self, node):
@@ -67,18 +72,18 @@
             return
         records = list(enumerate(self.log))[self.first_retained :]
         decision = decide(
-            [row for row in records if row[0] >= self.birth],
-            claim, birth_offset=self.birth, first_retained=self.first_retained,
+            [row for row in records if row[0] >= self.birth_offset],
+            claim, birth_offset=self.birth_offset, first_retained=self.first_retained,
         )  # fmt: skip
-        self.mine[node] = decision.standing is Standing.MINE
+        self.may_run[node] = decision.key_status is KeyStatus.MINE
 
     @rule(node=st.integers(0, NODES - 1), is_recorded=st.booleans())
     def run_key(self, node, is_recorded):
         claim = self.claims[node]
-        if claim is None or not self.mine[node]:
+        if claim is None or not self.may_run[node]:
             return
         self.runs += 1
-        self.mine[node] = False
+        self.may_run[node] = False
         self.claims[node] = None
         if is_recorded:
             outcome = OutcomeRecord("key", claim.claim_id, "h", 200, {})
@@ -90,14 +95,14 @@
         if claim is None:
             return
         self.claims[node] = None
-        self.mine[node] = False
-        target = self.held if is_late else self.log
+        self.may_run[node] = False
+        target = self.delayed_appends if is_late else self.log
         target.append(make_release_record(claim))
 
     @rule(node=st.integers(0, NODES - 1))
     def crash(self, node):
         self.claims[node] = None
-        self.mine[node] = False
+        self.may_run[node] = False
 
     @rule(count=st.integers(1, 4))
     def drop_old_records(self, count):
@@ -109,9 +114,9 @@
 
 
 class TestOneKey(OneKey.TestCase):  # type: ignore[misc, valid-type]
-    """A buyer asks through several nodes; they crash, and the log loses answers.
+    """A caller retries through several nodes that crash, and the log loses responses.
 
-    A second run would book palm derivatives twice, or charge a parish client double.
+    A second run would book an order twice or charge a customer twice.
     """
 
     settings = settings(
@@ -120,20 +125,20 @@
 
 
 def test_a_key_whose_first_records_have_expired_is_never_run():
-    """A buyer asks again with a key days later, when the log has dropped its claim."""
+    """A key is used again days later, after the log has dropped its first claim."""
     claim = Claim("c1", "key", "n1", "h")
     decision = decide(
         [(9, make_claim_record(claim))], claim, birth_offset=3, first_retained=4
     )
-    assert decision.standing is Standing.EXPIRED
+    assert decision.key_status is KeyStatus.EXPIRED
 
 
-def test_a_key_used_with_another_body_is_told_so():
+def test_a_key_used_with_another_body_is_reported():
     first = Claim("c1", "key", "n1", "h1")
     second = Claim("c2", "key", "n2", "h2")
     records = [(0, make_claim_record(first)), (1, make_claim_record(second))]
     decision = decide(records, second, birth_offset=0, first_retained=0)
-    assert decision.standing is Standing.OTHER_BODY
+    assert decision.key_status is KeyStatus.OTHER_BODY
 
 
 @pytest.mark.parametrize(
@@ -144,7 +149,7 @@
         parse_key(text)
 
 
-def test_a_key_reads_back_as_it_was_issued():
+def test_a_parsed_key_equals_the_issued_one():
     key = make_key(
         mode=KeyMode.HOME, birth_offset=12, issuer_id="n1/a", customer="kestrel"
     )
--- a/lycheetide/node/_booking_errors.py
+++ b/lycheetide/node/_booking_errors.py
@@ -1,45 +1,56 @@
-"""The typed errors that several parts of bookings give."""
+"""Errors that several booking modules raise."""
 
 from lycheetide.outcomes import NotRun, OutcomeUnknown, Reason
 
 RETRY_AFTER_S = 1.0
-NEW_KEY_HINT = "POST /v1/keys gives a key that runs without the log"
+NEW_KEY_HINT = "POST /v1/keys issues a key that does not need the log"
 
 
-def other_body():
-    """Return the error for a key that was used with another body."""
+def make_key_reused_error():
+    """Return the error for a key that was already used with another body."""
     return NotRun(Reason.KEY_REUSED, "the key was used with another body", status=422)
 
 
-def log_out():
-    """Return the error for a key of which the log could not tell in time."""
+def make_log_unavailable_error():
+    """Return the error for a key whose records could not be read in time."""
     return OutcomeUnknown(
         Reason.LOG_UNAVAILABLE,
-        "this node has sent nothing, but can't read whether another one ran the key; "
-        f"ask again with the same key. For new work, {NEW_KEY_HINT}",
+        "this node has sent nothing but cannot read from the log whether another node "
+        f"ran the key; retry with the same key. For a new request, {NEW_KEY_HINT}",
         retry_after_s=RETRY_AFTER_S,
     )
 
 
-def holder_gone():
-    """Return the error for a key whose holder can't tell what became of it."""
+def make_holder_lost_error():
+    """Return the error for a key whose holder can no longer report its outcome."""
     return OutcomeUnknown(
         Reason.KEY_HOME_LOST,
-        "the node that ran this key is gone; whether it ran is not known",
+        "the node that held this key is gone; whether the request ran is unknown",
         status=504,
     )
 
 
 def refused_with_key(refusal):
-    """Return the error for a request with a key that is refused before that is read.
+    """Return the error for a request that is refused before its key is looked up.
 
-    Its caller may be asking again, after another node ran the key. "Not run" would be
-    true of this request, and read as said of the booking.
+    The request may be a retry whose first attempt ran through another node. "Not run"
+    would be true of this request alone, but the caller would take it to mean that the
+    booking never ran. So the outcome is reported as unknown.
+
+    Parameters
+    ----------
+    refusal : RequestError
+        Why the request is refused.
+
+    Returns
+    -------
+    OutcomeUnknown
+        With the reason, status and retry delay of ``refusal``.
     """
     return OutcomeUnknown(
         refusal.reason,
-        f"{refusal.message}; this node has sent nothing and hasn't looked whether "
-        "another one ran the key; ask again with the same key",
+        f"{refusal.message}; this node has sent nothing and did not check whether "
+        "another node ran the key; retry with the same key",
         retry_after_s=refusal.retry_after_s,
         status=refusal.status,
     )
--- a/lycheetide/node/_booking_keys.py
+++ b/lycheetide/node/_booking_keys.py
@@ -1,27 +1,47 @@
-"""Issue idempotency keys and read those that callers send."""
+"""Issue idempotency keys and validate those that callers send."""
 
 import hashlib
 
 from lycheetide.bookings import KeyMode, make_key, parse_key
 from lycheetide.outcomes import NotRun, Reason
 
-LARGEST_HOME_KEYS = 100_000
+MAX_HOME_KEYS = 100_000
 
 
 def issue_key(node, customer, *, now_s):
-    """Issue a key: one that is claimed on the log, or, in an outage, a home key.
+    """Issue an idempotency key to a customer.
+
+    A key is normally claimed on the log when it is used. While the log is unreachable,
+    a home key is issued instead, which only this node may run.
+
+    Parameters
+    ----------
+    node : NodeState
+        This node.
+    customer : Customer
+        The customer that requested the key.
+    now_s : float
+        The current time.
+
+    Returns
+    -------
+    BookingKey
+        The new key.
 
     Raises
     ------
     NotRun
-        If this node remembers too many home keys already.
+        If this node has already issued ``MAX_HOME_KEYS`` home keys, all of which it
+        has to remember.
     """
-    log_reached = now_s - node.log_asked_s <= node.settings.lease_s
-    mode = KeyMode.CLAIMED if log_reached else KeyMode.HOME
+    is_log_reachable = now_s - node.log_asked_s <= node.settings.lease_s
+    mode = KeyMode.CLAIMED if is_log_reachable else KeyMode.HOME
     if mode is KeyMode.HOME:
-        if node.issued_home_keys >= LARGEST_HOME_KEYS:
+        if node.issued_home_keys >= MAX_HOME_KEYS:
             raise NotRun(
-                Reason.NO_CAPACITY, "too many keys were issued", retry_after_s=30.0
+                Reason.NO_CAPACITY,
+                "too many keys were issued without the log",
+                retry_after_s=30.0,
             )
         node.issued_home_keys += 1
     node.counters.add(f"keys.{mode.name.lower()}")
@@ -34,12 +54,12 @@
 
 
 def read_key(text, customer):
-    """Read a caller's key.
+    """Parse a caller's key and check that it was issued to this customer.
 
     Raises
     ------
     NotRun
-        If there is none, or it is not this customer's.
+        If the key is missing, malformed, or was issued to another customer.
     """
     if not text:
         raise NotRun(
@@ -61,7 +81,7 @@
 
 
 def hash_call(operation, body):
-    """Return the hash by which a key used for another body is found out."""
+    """Return a hash that shows whether a key is reused for another call."""
     digest = hashlib.sha256(operation.entry_name.encode())
     digest.update(b"\0")
     digest.update(body)
--- a/lycheetide/node/_booking_peers.py
+++ b/lycheetide/node/_booking_peers.py
@@ -1,7 +1,7 @@
-"""Answer other nodes that ask about bookings, or pass one on."""
+"""Handle calls of other nodes that query or forward bookings."""
 
 from lycheetide.bookings import parse_key
-from lycheetide.node._booking_errors import holder_gone, refused_with_key
+from lycheetide.node._booking_errors import make_holder_lost_error, refused_with_key
 from lycheetide.node._bookings import serve_booking
 from lycheetide.node._state import read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
@@ -10,18 +10,18 @@
 
 
 async def query_booking(node, request):
-    """Tell another node what became of a key that this node holds."""
+    """Report the status of a key that this node has claimed."""
     if request.member_id != node.own_id:
         return BookingReply(BookingStatus.UNKNOWN)
     run = node.bookings.get(request.key)
     if run is None:
-        # It was given up without having been sent; the release is on its way.
+        # The run was dropped before anything was sent; its release is being appended.
         return BookingReply(BookingStatus.NOT_RUN)
     return make_reply(run)
 
 
 def make_reply(run):
-    """Return what is known of a run."""
+    """Return the status of a run as a reply."""
     if not run.done.is_set():
         return BookingReply(BookingStatus.RUNNING, run.body_hash)
     if run.answer is not None:
@@ -32,7 +32,7 @@
 
 
 def make_error_reply(error):
-    """Return a typed error as a reply."""
+    """Convert an error to a reply."""
     not_run = isinstance(error, NotRun)
     return BookingReply(
         BookingStatus.NOT_RUN if not_run else BookingStatus.UNKNOWN,
@@ -44,15 +44,17 @@
 
 
 async def run_booking(node, request):
-    """Run a home key for another node."""
+    """Run a home key of this node for another node that received the request."""
     if request.member_id != node.own_id:
-        return make_error_reply(holder_gone())
+        return make_error_reply(make_holder_lost_error())
     operation = node.fleet.operations.get(f"{request.service}/{request.operation}")
     customer = node.fleet.customers.get(request.customer)
     request_class = node.fleet.classes.get(request.request_class)
     if operation is None or customer is None or request_class is None:
         error = NotRun(
-            Reason.NOT_READY, "the configuration is not known here", retry_after_s=1.0
+            Reason.NOT_READY,
+            "this node's configuration lacks the operation, customer or request class",
+            retry_after_s=1.0,
         )
         return make_error_reply(refused_with_key(error))
     now_s = read_clock()
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -1,7 +1,7 @@
-"""Run calls that may not be repeated: claim, dispatch once, record the answer.
+"""Run non-idempotent calls at most once: claim the key, dispatch, record the answer.
 
-Whoever asks only waits; the run itself goes on when its callers have given up, so
-that the answer is recorded for whoever asks again.
+Each key is run by a background task, and requests only wait for it. The run continues
+after its callers have given up, so that the answer is recorded for later retries.
 """
 
 from dataclasses import dataclass, field
@@ -12,8 +12,8 @@
 from lycheetide.bookings import (
     Claim,
     KeyMode,
+    KeyStatus,
     OutcomeRecord,
-    Standing,
     decide,
     make_claim_record,
     make_outcome_record,
@@ -23,11 +23,11 @@
 from lycheetide.metrics import get_log
 from lycheetide.node._booking_errors import (
     RETRY_AFTER_S,
-    holder_gone,
-    log_out,
-    other_body,
+    make_holder_lost_error,
+    make_key_reused_error,
+    make_log_unavailable_error,
 )
-from lycheetide.node._booking_home import serve_at_home
+from lycheetide.node._booking_home import forward_to_issuer
 from lycheetide.node._booking_keys import hash_call
 from lycheetide.node._permits import Wish, get_permit, give_back, may_send
 from lycheetide.node._services import CALL_TOKENS, STALE_PAUSE_S
@@ -56,51 +56,56 @@
 )
 
 CHART = load_chart("booking")
-LOG_RETRY_S = 0.2
-POLL_S = 0.2
-QUERY_S = 1.0
-RELEASE_TRIES = 600
-RECORD_TRIES = 3_000
-LARGEST_KEPT = 20_000
-FORGOTTEN_AT_ONCE = 1_000
+LOG_RETRY_INTERVAL_S = 0.2
+POLL_INTERVAL_S = 0.2
+QUERY_TIMEOUT_S = 1.0
+MAX_RELEASE_ATTEMPTS = 600
+MAX_RECORD_ATTEMPTS = 3_000
+MAX_KEPT_RUNS = 20_000
+EVICTION_BATCH_SIZE = 1_000
 
 log = get_log("booking")
 
 
 @dataclass
 class BookingRun:
-    """One key at the node that runs it.
+    """The run of one key on this node.
 
     Parameters
     ----------
     key : BookingKey
-        The key.
+        The idempotency key.
     body_hash : str
-        Hash of what is to run.
+        Hash of the operation and the body.
     admitted : Admitted
-        The first request that asked for it.
+        The first request with this key.
     claim : Claim
-        What stands on the log for it.
-    life : str
-        Its state in the booking chart.
-    askers : int
-        How many requests wait for it.
+        This node's claim on the key.
+    state : str
+        Current state in the booking state chart.
+    waiters : int
+        Number of requests that wait for the result.
     claim_sent : bool
-        Whether the claim may stand on the log.
+        Whether the claim may be on the log.
     abandoned : bool
-        Set when the last asker was told "not run"; nothing may be sent after that.
+        Set when the last waiting request was told "not run"; nothing may be sent after
+        that.
     done : anyio.Event
-        Set at the end; ``answer`` or ``error`` is there then.
+        Set at the end, when ``answer`` or ``error`` is available.
+    answer : ServiceAnswer or None
+        The answer of the service.
+    error : RequestError or None
+        Why there is no answer.
     is_recorded : bool
-        Whether the answer stands on the log.
+        Whether the answer is on the log.
     """
 
     key: Any
     body_hash: str
     admitted: Any
     claim: Any
-    life: str = CHART.initial
-    askers: int = 0
+    state: str = CHART.initial
+    waiters: int = 0
     claim_sent: bool = False
     abandoned: bool = False
     done: anyio.Event = field(default_factory=anyio.Event)
@@ -109,12 +114,12 @@
     is_recorded: bool = False
 
     def step(self, event):
-        """Step the key's life."""
-        self.life = CHART.step(self.life, event)
+        """Apply an event to the state chart."""
+        self.state = CHART.step(self.state, event)
 
 
 async def serve_booking(node, admitted, operation, body, key):
-    """Serve a call that runs once at most, however often it is asked for.
+    """Serve a call that runs at most once, however often it is requested.
 
     Parameters
     ----------
@@ -123,41 +128,41 @@
     admitted : Admitted
         The request.
     operation : Operation
-        What is called.
+        The operation to call.
     body : bytes
-        The caller's body.
+        Body of the request.
     key : BookingKey
-        Its key.
+        The idempotency key.
 
     Returns
     -------
     ServiceAnswer
-        The service's answer, perhaps to an earlier request with this key.
+        The answer of the service, perhaps to an earlier request with this key.
 
     Raises
     ------
     RequestError
-        ``NotRun`` only if nothing was sent for this key and nothing will be.
+        ``NotRun`` only if nothing was or will be sent for this key.
     """
     is_home = key.mode is KeyMode.HOME
     if is_home and key.issuer_id != node.own_id:
-        return await serve_at_home(node, admitted, operation, body, key)
+        return await forward_to_issuer(node, admitted, operation, body, key)
     run = node.bookings.get(key.text)
     body_hash = hash_call(operation, body)
     if run is None or _may_restart(run):
-        run = _start(node, admitted, operation, body, key, body_hash)
+        run = _start_run(node, admitted, operation, body, key, body_hash)
     elif run.body_hash != body_hash:
-        raise other_body()
-    return await _wait(node, run, admitted)
+        raise make_key_reused_error()
+    return await _wait_for_answer(node, run, admitted)
 
 
 def _may_restart(run):
-    """Tell whether a run ended with nothing sent, so the key may be tried anew."""
+    """Return whether a run ended with nothing sent, so that the key may run again."""
     return run.done.is_set() and isinstance(run.error, NotRun)
 
 
-def _start(node, admitted, operation, body, key, body_hash):
-    """Begin to run a key; the run outlives its callers."""
+def _start_run(node, admitted, operation, body, key, body_hash):
+    """Start the run of a key in a task that outlives its callers."""
     claim = Claim(draw_id(), key.text, node.own_id, body_hash)
     run = BookingRun(key, body_hash, admitted, claim)
     node.bookings[key.text] = run
@@ -165,45 +170,46 @@
     return run
 
 
-async def _wait(node, run, admitted):
-    """Wait for a run, up to the asker's own deadline."""
-    run.askers += 1
+async def _wait_for_answer(node, run, admitted):
+    """Wait for the result of a run until the deadline of this request."""
+    run.waiters += 1
     try:
         with anyio.CancelScope(deadline=admitted.deadline_s) as scope:
             await run.done.wait()
     finally:
-        run.askers -= 1
+        run.waiters -= 1
     if scope.cancelled_caught and not run.done.is_set():
-        raise _give_up(run)
+        raise _make_deadline_error(run)
     if run.error is not None:
         raise run.error
     return run.answer
 
 
-def _give_up(run):
-    """Return the error for an asker whose time is up.
+def _make_deadline_error(run):
+    """Return the error for a waiting request whose deadline has passed.
 
-    "Not run" is said only to the last asker, only while nothing was sent, and only
-    if this node's claim is known to stand first: before that, another node may have
-    run the key. The mark left here keeps the run from sending anything later.
+    "Not run" is reported only to the last waiting request, only while nothing was
+    sent, and only if this node's claim is known to be the first: before that, another
+    node may have run the key. Setting ``abandoned`` prevents the run from sending
+    anything later.
     """
-    if run.life == "claimed" and run.askers == 0:
+    if run.state == "claimed" and run.waiters == 0:
         run.abandoned = True
         return NotRun(
             Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
         )
-    if run.life == "new":
-        return log_out()
+    if run.state == "new":
+        return make_log_unavailable_error()
     return OutcomeUnknown(
         Reason.DEADLINE,
-        "the service has not answered in time; ask again with the same key",
+        "the service did not answer before the deadline; retry with the same key",
         retry_after_s=RETRY_AFTER_S,
         status=504,
     )
 
 
 async def _run(node, run, operation, body):
-    """Claim, send, and record; set ``done`` whatever happens."""
+    """Claim, dispatch and record; ``done`` is set even after an error."""
     try:
         if run.key.mode is KeyMode.HOME:
             run.step("no_log_needed")
@@ -215,97 +221,101 @@
     except RequestError as error:
         run.error = error
     except Exception:
-        log.exception("A booking failed inside the node.")
-        unsent = CHART.has(run.life, "unsent")
+        log.exception("A booking failed because of an internal error.")
+        unsent = CHART.has(run.state, "unsent")
         run.abandoned = True
         error_type = NotRun if unsent else OutcomeUnknown
         run.error = error_type(Reason.INTERNAL, "an error inside the node", status=500)
     finally:
         run.done.set()
-    if isinstance(run.error, NotRun) or run.life in {"new", "elsewhere"}:
+    if isinstance(run.error, NotRun) or run.state in {"new", "elsewhere"}:
         node.bookings.pop(run.key.text, None)
-    if run.claim_sent and run.life in {"new", "claimed", "elsewhere"}:
+    if run.claim_sent and run.state in {"new", "claimed", "elsewhere"}:
         await _release_claim(node, run)
-    if run.life == "recorded":
-        await _record(node, run)
-        _forget_recorded(node)
+    if run.state == "recorded":
+        await _record_answer(node, run)
+        _evict_recorded_runs(node)
 
 
-def has_pending(node):
-    """Tell whether some booking still runs, or its answer is not on the log yet.
+def has_pending_bookings(node):
+    """Return whether a booking still runs or its answer is not on the log yet.
 
-    A node that stopped now would leave such a key unknown for ever.
+    If the node stopped now, the outcome of such a key would stay unknown for ever.
     """
     return any(
-        not run.done.is_set() or (run.life == "recorded" and not run.is_recorded)
+        not run.done.is_set() or (run.state == "recorded" and not run.is_recorded)
         for run in node.bookings.values()
     )
 
 
-def _forget_recorded(node):
-    """Forget the oldest claimed keys whose answers stand on the log."""
-    if len(node.bookings) <= LARGEST_KEPT:
+def _evict_recorded_runs(node):
+    """Drop the oldest runs of claimed keys whose answers are on the log.
+
+    Runs of home keys are kept: they have no claim on the log, so a key that was dropped
+    could run again.
+    """
+    if len(node.bookings) <= MAX_KEPT_RUNS:
         return
-    for text, run in list(node.bookings.items())[:FORGOTTEN_AT_ONCE]:
+    for text, run in list(node.bookings.items())[:EVICTION_BATCH_SIZE]:
         if run.key.mode is KeyMode.CLAIMED and run.is_recorded:
             del node.bookings[text]
 
 
 async def _claim(node, run):
-    """Put the claim on the log and learn what the records say.
+    """Claim the key on the log, or get the answer of the node that claimed it.
 
     Returns
     -------
     int
-        The fencing number; ``run.answer`` is set instead where there is one already.
+        The fencing number; 0 with ``run.answer`` set if the key was already answered.
     """
     while True:
         _check_not_abandoned(run)
-        decision = await _read_standing(node, run)
-        standing = decision.standing if decision is not None else None
-        if standing is Standing.MINE:
+        decision = await _submit_claim(node, run)
+        key_status = decision.key_status if decision is not None else None
+        if key_status is KeyStatus.MINE:
             run.step("claimed")
             return decision.fencing_number
-        if standing is Standing.RECORDED:
+        if key_status is KeyStatus.RECORDED:
             run.step("lost")
             run.answer = ServiceAnswer(decision.outcome.status, decision.outcome.body)
             return 0
-        if standing is Standing.EXPIRED:
+        if key_status is KeyStatus.EXPIRED:
             run.step("lost")
             raise OutcomeUnknown(
                 Reason.KEY_EXPIRED,
-                "the log no longer has the records of this key's first days",
+                "the log no longer retains the first records of this key",
                 status=410,
             )
-        if standing is Standing.OTHER_BODY:
+        if key_status is KeyStatus.OTHER_BODY:
             run.step("lost")
-            raise other_body()
-        if standing is Standing.ELSEWHERE:
-            await _follow_holder(node, run, decision.holder_id)
+            raise make_key_reused_error()
+        if key_status is KeyStatus.ELSEWHERE:
+            await _query_holder(node, run, decision.holder_id)
             if run.answer is not None:
                 return 0
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
             continue
-        await anyio.sleep(LOG_RETRY_S)
+        await anyio.sleep(LOG_RETRY_INTERVAL_S)
 
 
 def _check_not_abandoned(run):
-    """Stop a run whose callers were told that it has not run, or whose time is up."""
+    """Raise if callers were told that nothing ran, or if the deadline has passed."""
     if not run.abandoned and read_clock() < run.admitted.deadline_s:
         return
     run.abandoned = True
-    if run.life == "new":
-        raise log_out()
+    if run.state == "new":
+        raise make_log_unavailable_error()
     raise NotRun(
         Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
     )
 
 
-async def _read_standing(node, run):
-    """Append the claim and read the key's records; None if the log is out.
+async def _submit_claim(node, run):
+    """Append the claim and evaluate the key's records; None if they can't be read.
 
-    An append without an answer may stand on the log or still arrive there, so it is
-    looked up by its id, and appended again with the same id where it is missing.
+    A claim whose append got no answer may be on the log or may still arrive there. So
+    it is looked up by its id and, if it is missing, appended again with the same id.
     """
     run.claim_sent = True
     try:
@@ -319,7 +329,9 @@
     if run.key.birth_offset > batch.next_offset:
         run.step("lost")
         raise NotRun(
-            Reason.KEY_AHEAD, "the key's birth is ahead of the log", status=400
+            Reason.KEY_AHEAD,
+            "the key's issue offset is beyond the end of the log",
+            status=400,
         )
     return decide(
         batch.records,
@@ -329,21 +341,21 @@
     )
 
 
-async def _follow_holder(node, run, holder_id):
-    """Ask the node whose claim stands what became of the key."""
+async def _query_holder(node, run, holder_id):
+    """Query the status of the key from the node whose claim is valid."""
     member = node.membership.view.find(holder_id)
     if member is None:
-        known = node.membership.evidence.get(holder_id)
-        member = known.row.member if known is not None else None
+        last_evidence = node.membership.evidence.get(holder_id)
+        member = last_evidence.row.member if last_evidence is not None else None
     if member is None:
         run.step("lost")
-        raise holder_gone()
+        raise make_holder_lost_error()
     try:
         reply = await node.peers.call(
             member.peer_address,
             "query_booking",
             BookingQuery(holder_id, run.key.text),
-            timeout_s=QUERY_S,
+            timeout_s=QUERY_TIMEOUT_S,
         )
     except PeerUnreached:
         node.counters.add("bookings.holder_unreached")
@@ -353,11 +365,14 @@
         run.answer = ServiceAnswer(reply.http_status, reply.body)
     elif reply.status is BookingStatus.UNKNOWN:
         run.step("lost")
-        raise holder_gone()
+        raise make_holder_lost_error()
 
 
 async def _dispatch(node, run, operation, body, fencing_number):
-    """Get a permit and send the call, once."""
+    """Get a permit and send the call.
+
+    Only a call that a replica refused without starting it is sent again.
+    """
     avoid: list[str] = []
     attempts = 0
     while True:
@@ -375,24 +390,24 @@
                 give_back(node, held)
                 await anyio.sleep(STALE_PAUSE_S)
                 continue
-            # No await stands between this check and the sending, so no caller can be
-            # told "not run" in between.
+            # There is no await between this check and sending, so no caller can be told
+            # "not run" in between.
             _check_not_abandoned(run)
             run.step("dispatched")
             return await _send(node, run, held, operation, body, fencing_number)
         except UpstreamError as error:
             attempts += 1
             avoid.extend(held.permit.replicas)
-            _settle_error(node, run, error, attempts)
+            _handle_upstream_error(node, run, error, attempts)
         finally:
             give_back(node, held)
 
 
 async def _send(node, run, held, operation, body, fencing_number):
-    """Send the call; a silent one ends only when nobody waits for it.
+    """Send the call; it is cancelled for silence only if no request waits for it.
 
-    No other may follow it, so ending it would only lose its answer, and leave the key
-    unknown.
+    No other attempt may follow, so cancelling the call would only lose its answer and
+    leave the outcome of the key unknown.
     """
     name = held.permit.replicas[0]
     node.note(
@@ -411,22 +426,22 @@
         silence.end()
         return answer
 
-    async def wait_unasked():
-        while run.askers or not silence.is_over(now_s=read_clock()):
-            await anyio.sleep(POLL_S)
+    async def wait_until_unneeded():
+        while run.waiters or not silence.is_over(now_s=read_clock()):
+            await anyio.sleep(POLL_INTERVAL_S)
 
-    answer = await run_watched(work, silence, wait_unasked)
+    answer = await run_watched(work, silence, wait_until_unneeded)
     run.step("answered")
     return answer
 
 
-def _settle_error(node, run, error, attempts):
-    """Raise the caller's error unless the call may be sent again."""
+def _handle_upstream_error(node, run, error, attempts):
+    """Raise the error for the caller unless the call may be sent again."""
     if error.started_maybe:
         run.step("broke")
         raise OutcomeUnknown(
             Reason.UPSTREAM_BROKE,
-            "the service may have run the call; its answer was lost",
+            "the service may have run the call, but its answer was lost",
             status=504,
         ) from error
     run.step("refused_unstarted")
@@ -448,27 +463,27 @@
 
 
 async def _release_claim(node, run):
-    """Give the claim up on the log, so that the key may run elsewhere."""
-    if run.life == "claimed":
+    """Release the claim on the log, so that another node may run the key."""
+    if run.state == "claimed":
         run.step("released")
-    for _ in range(RELEASE_TRIES):
+    for _ in range(MAX_RELEASE_ATTEMPTS):
         try:
             await node.booking_writer.append(make_release_record(run.claim))
             return
         except LogUnavailable:
-            await anyio.sleep(LOG_RETRY_S)
+            await anyio.sleep(LOG_RETRY_INTERVAL_S)
 
 
-async def _record(node, run):
-    """Put the answer on the log, for whoever asks again after this node is gone."""
+async def _record_answer(node, run):
+    """Record the answer on the log for retries after this node has stopped."""
     outcome = OutcomeRecord(
         run.key.text, run.claim.claim_id, run.body_hash, run.answer.status,
         run.answer.body,
     )  # fmt: skip
-    for _ in range(RECORD_TRIES):
+    for _ in range(MAX_RECORD_ATTEMPTS):
         try:
             await node.booking_writer.append(make_outcome_record(outcome))
             run.is_recorded = True
             return
         except LogUnavailable:
-            await anyio.sleep(LOG_RETRY_S)
+            await anyio.sleep(LOG_RETRY_INTERVAL_S)
--- a/lycheetide/node/_members.py
+++ b/lycheetide/node/_members.py
@@ -1,4 +1,4 @@
-"""Ask peers for what they know, and propose views."""
+"""Exchange heartbeats with peers and propose membership views."""
 
 import random
 
@@ -10,19 +10,20 @@
 from lycheetide.peers import PeerUnreached, PullReply, PullRequest
 from lycheetide.platformlog import LogUnavailable
 
-PULL_S = 1.0
+PULL_TIMEOUT_S = 1.0
 PROPOSE_INTERVAL_S = 0.3
-DEPOSE_LOG_S = 1.5
-"""A log that gave no answer for so long may not take a new view in time."""
-DEPOSE_EXTRA_S = 1.5
-"""Silence beyond what makes a member suspect: a view comes first if it can, and a busy
-host isn't taken for a dead one. Being deposed lasts until the log is back."""
+DEPOSE_LOG_AGE_S = 1.5
+"""After this time without an answer, the log may not accept a new view in time."""
+DEPOSE_EXTRA_SILENCE_S = 1.5
+"""Silence beyond ``suspect_s`` after which a member is deposed. The extra time lets a
+new view come first if the log can accept one, and keeps a busy host from being taken
+for a dead one. A member stays deposed until the log is back."""
 
 log = get_log("member")
 
 
-def make_rows(node, now_s):
-    """Return what this node tells its peers."""
+def make_own_rows(node, now_s):
+    """Return the status rows that this node sends to its peers."""
     cells = [owned.cell.summarize(now_s=now_s) for owned in node.cells.values()]
     return tuple(
         node.membership.make_rows(
@@ -34,19 +35,19 @@
     )
 
 
-def give_rows(node):
-    """Return the handler that answers a heartbeat."""
+def make_pull_handler(node):
+    """Return the handler that answers heartbeats of peers."""
 
     async def pull(request):
         view = node.membership.view
         newer = view if view.number > request.row.view_number else None
-        return PullReply(make_rows(node, read_clock()), newer)
+        return PullReply(make_own_rows(node, read_clock()), newer)
 
     return pull
 
 
-def list_addresses(node):
-    """Return the peer addresses of members and listed hosts, without this node's."""
+def list_peer_addresses(node):
+    """Return the peer addresses of all members and listed hosts except this node."""
     addresses = {member.peer_address for member in node.membership.view.members}
     addresses.update(host.peer_address for host in node.hosts or ())
     addresses.discard(node.settings.peer_address)
@@ -54,33 +55,38 @@
 
 
 async def pull_peers(node, on_change, *, random_state=None):
-    """Ask a few peers for what they know, at each interval, for ever.
+    """Send heartbeats to a few random peers at each interval, for ever.
 
     Parameters
     ----------
     node : NodeState
-        The node.
+        This node.
     on_change : callable
-        Called when a peer told of a newer view.
+        Called when a peer reports a newer view, or when the set of members that others
+        stand in for changes.
     random_state : random.Random or None, default=None
-        Draws the peers; None seeds itself.
+        Source of randomness for the choice of peers. If None, a new generator with a
+        random seed is used.
     """
-    draw = random_state or random.Random()
+    generator = random_state or random.Random()
     async with anyio.create_task_group() as group:
         while True:
             node.membership.deputies.note_awake(now_s=read_clock())
-            addresses = list_addresses(node)
+            addresses = list_peer_addresses(node)
             fanout = min(node.settings.heartbeat_fanout, len(addresses))
-            for address in draw.sample(addresses, fanout):
-                group.start_soon(_pull_one, node, address, on_change)
+            for address in generator.sample(addresses, fanout):
+                group.start_soon(_pull_peer, node, address, on_change)
             await anyio.sleep(node.settings.heartbeat_interval_s)
 
 
-async def _pull_one(node, address, on_change):
-    """Ask one peer; its answer is dated by when it was asked."""
+async def _pull_peer(node, address, on_change):
+    """Send a heartbeat to one peer and apply its reply.
+
+    Its rows are dated by when the request was sent, since they can't be older.
+    """
     asked_s = read_clock()
-    own_row = make_rows(node, asked_s)[0]
-    timeout_s = min(PULL_S, node.settings.lease_s)
+    own_row = make_own_rows(node, asked_s)[0]
+    timeout_s = min(PULL_TIMEOUT_S, node.settings.lease_s)
     try:
         reply = await node.peers.call(
             address, "pull", PullRequest(own_row), timeout_s=timeout_s
@@ -99,21 +105,21 @@
 
 
 async def propose_views(node, on_change):
-    """Propose a view when the members that are heard differ from it, for ever.
+    """Propose a new view when the reachable members differ from the view, for ever.
 
     Parameters
     ----------
     node : NodeState
-        The node.
+        This node.
     on_change : callable
-        Called when others stand in for members that can't act.
+        Called when the set of members that others stand in for changes.
     """
     while True:
         await anyio.sleep(PROPOSE_INTERVAL_S)
         now_s = read_clock()
-        if now_s - node.log_asked_s > DEPOSE_LOG_S:
+        if now_s - node.log_asked_s > DEPOSE_LOG_AGE_S:
             node.membership.depose_silent(
-                now_s=now_s, silent_s=node.settings.suspect_s + DEPOSE_EXTRA_S
+                now_s=now_s, silent_s=node.settings.suspect_s + DEPOSE_EXTRA_SILENCE_S
             )
         out = node.membership.deputies.out
         node.membership.settle(now_s=now_s)
@@ -128,12 +134,15 @@
             await node.log.append(node.view_stream, [record])
             node.counters.add("views.proposed")
         except LogUnavailable as error:
-            log.debug("A view can't be proposed.", extra={"cause": str(error)})
+            log.debug(
+                "A view could not be proposed: the log is unavailable.",
+                extra={"cause": str(error)},
+            )
         await _wait_for_view(node, view.number)
 
 
 async def _wait_for_view(node, number):
-    """Wait until a later view is read, or for a while."""
+    """Wait until a later view has been read, at most one second."""
     with anyio.move_on_after(1.0):
         while node.membership.view.number == number:
             await anyio.sleep(0.05)
--- a/lycheetide/node/_run.py
+++ b/lycheetide/node/_run.py
@@ -1,4 +1,4 @@
-"""Start a node, keep its parts running, and stop it without cutting a request."""
+"""Start a node, supervise its background tasks, and stop it gracefully."""
 
 import signal
 import socket
@@ -10,10 +10,10 @@
 
 from lycheetide.metrics import get_log
 from lycheetide.node import _booking_peers, _owner
-from lycheetide.node._bookings import has_pending
+from lycheetide.node._bookings import has_pending_bookings
 from lycheetide.node._door import Door
 from lycheetide.node._life import keep_life
-from lycheetide.node._members import give_rows, propose_views, pull_peers
+from lycheetide.node._members import make_pull_handler, propose_views, pull_peers
 from lycheetide.node._operator import make_operator_app
 from lycheetide.node._owner import keep_cells, sync_cells
 from lycheetide.node._permits import renew_permits
@@ -31,34 +31,34 @@
 from lycheetide.peers import make_server
 from lycheetide.tasks import GuardedTasks, keep_running, watch_standstill
 
-STOP_TICK_S = 0.1
-HAND_OVER_PATIENCE_S = 10.0
-KEEP_ALIVE_S = 75.0
+STOP_POLL_INTERVAL_S = 0.1
+HAND_OVER_TIMEOUT_S = 10.0
+KEEP_ALIVE_TIMEOUT_S = 75.0
 HTTP_GRACE_S = 2.0
 
-FOLLOWERS: tuple[Any, ...] = (
+NOTIFYING_TASKS: tuple[Any, ...] = (
     follow_config,
     follow_peers_config,
     follow_views,
     pull_peers,
     propose_views,
 )
-"""The parts that tell of a change of configuration or view."""
+"""Tasks that call ``on_change`` after a change of the configuration or the view."""
 
 log = get_log("node")
 
 
 class CannotListen(Exception):
-    """An address of the settings can't be listened on."""
+    """An address from the settings cannot be listened on."""
 
 
 def check_addresses(settings):
-    """Find out before anything starts whether all addresses are free.
+    """Check before anything starts that all listening addresses are free.
 
     Raises
     ------
     ExceptionGroup
-        With one ``CannotListen`` for each address that is not.
+        With one ``CannotListen`` for each address that is not free.
     """
     errors = []
     for key in ("caller_address", "peer_address", "operator_address"):
@@ -72,16 +72,16 @@
             except OSError as error:
                 errors.append(CannotListen(f"[listen] {key} = {address}: {error}"))
     if errors:
-        raise ExceptionGroup("addresses in use", errors)
+        raise ExceptionGroup("cannot listen on all configured addresses", errors)
 
 
 async def run_node(settings):
-    """Run a node until it is told to stop.
+    """Run a node until it gets SIGTERM or SIGINT.
 
     Parameters
     ----------
     settings : Settings
-        What it is told.
+        The settings of the node.
     """
     check_addresses(settings)
     node = NodeState(settings)
@@ -94,9 +94,9 @@
         node.tasks = GuardedTasks(group, node.counters)
         server = make_server(make_handlers(node), address=settings.peer_address)
         await server.start()
-        for part in FOLLOWERS:
+        for part in NOTIFYING_TASKS:
             group.start_soon(keep_running, node, part, on_change)
-        for part in LOOPS:
+        for part in INDEPENDENT_TASKS:
             group.start_soon(keep_running, node, part)
         group.start_soon(node.booking_writer.run)
         group.start_soon(_serve_http, settings, Door(node).make_app(),
@@ -119,7 +119,7 @@
 
 
 def make_handlers(node):
-    """Return the functions that answer other nodes' calls."""
+    """Return the handlers of calls from other nodes, by method name."""
 
     def bind(function):
         async def handle(request):
@@ -128,7 +128,7 @@
         return handle
 
     return {
-        "pull": give_rows(node),
+        "pull": make_pull_handler(node),
         "acquire": bind(_owner.acquire),
         "met": bind(_owner.note_met),
         "adopt": bind(_owner.adopt),
@@ -142,12 +142,12 @@
 
 
 async def _serve_http(settings, app, address, stopped, use_tls):
-    """Serve one application until the node has stopped."""
+    """Serve an ASGI application until ``stopped`` is set."""
     config = Config()
     config.bind = [address]
     config.accesslog = None
     config.errorlog = None
-    config.keep_alive_timeout = KEEP_ALIVE_S
+    config.keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
     config.graceful_timeout = HTTP_GRACE_S
     if use_tls and settings.tls_certificate_path:
         config.certfile = settings.tls_certificate_path
@@ -155,7 +155,7 @@
     await serve(app, config, shutdown_trigger=stopped.wait)
 
 
-LOOPS: tuple[Any, ...] = (
+INDEPENDENT_TASKS: tuple[Any, ...] = (
     follow_hosts,
     follow_booking_head,
     write_snapshots,
@@ -167,7 +167,7 @@
     keep_life,
     watch_standstill,
 )
-"""The parts that run by themselves."""
+"""Tasks that do not report changes."""
 
 
 async def _wait_for_stop():
@@ -178,39 +178,43 @@
 
 
 async def _stop(node):
-    """Leave without cutting a request.
+    """Drain the node without interrupting a request.
 
-    The balancer and the host list lag: callers still arrive after the node has said
-    that it leaves. So it keeps serving, hands over what it owns, and ends when the
-    last stream has ended.
+    The load balancer and the host list lag, so requests still arrive after the node has
+    announced that it is leaving. The node keeps serving for ``stop_notice_s`` at least,
+    hands its cells over, and stops when the last request has ended and all bookings are
+    recorded, or after ``stop_longest_s``.
     """
     node.step("stop")
     log.info("The node is leaving.", extra={"active": len(node.active)})
-    begun_s = read_clock()
+    started_s = read_clock()
     settings = node.settings
-    while read_clock() - begun_s < settings.stop_longest_s:
+    while read_clock() - started_s < settings.stop_longest_s:
         now_s = read_clock()
-        noticed = now_s - begun_s >= settings.stop_notice_s
-        is_idle = not node.active and not has_pending(node)
-        if noticed and is_idle and _has_handed_over(node, now_s - begun_s):
+        is_notice_over = now_s - started_s >= settings.stop_notice_s
+        is_idle = not node.active and not has_pending_bookings(node)
+        if is_notice_over and is_idle and _has_handed_over(node, now_s - started_s):
             break
-        await anyio.sleep(STOP_TICK_S)
+        await anyio.sleep(STOP_POLL_INTERVAL_S)
     node.step("drained")
 
 
 def _has_handed_over(node, waited_s):
-    """Tell whether nobody needs this node as an owner any more."""
+    """Return whether no other node needs this one as an owner of cells any more.
+
+    After ``HAND_OVER_TIMEOUT_S`` the node no longer waits for that.
+    """
     view = node.membership.view
-    alone = len(view.members) <= 1
-    if alone or waited_s > HAND_OVER_PATIENCE_S:
+    is_sole_member = len(view.members) <= 1
+    if is_sole_member or waited_s > HAND_OVER_TIMEOUT_S:
         return True
     if view.find(node.own_id) is not None or node.cells:
         return False
     waiting = [owned for at_s, owned in node.relinquished.values() if at_s > 0]
-    return all(_is_handed(node, owned) for owned in waiting)
+    return all(_is_fetched(node, owned) for owned in waiting)
 
 
-def _is_handed(node, owned):
-    """Tell whether a cell that was given up has been fetched."""
+def _is_fetched(node, owned):
+    """Return whether a relinquished cell was fetched or has been kept long enough."""
     at_s, _ = node.relinquished[owned.cell.name]
     return read_clock() - at_s >= _owner.KEEP_RELINQUISHED_S
--- a/lycheetide/node/tests/test_bookings.py
+++ b/lycheetide/node/tests/test_bookings.py
@@ -1,4 +1,4 @@
-"""A deposit runs at most once, and "not run" is true, whatever fails."""
+"""A deposit runs at most once, and "not run" is true, whichever part fails."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -12,6 +12,7 @@
 
 
 def set_domains(fleet, state):
+    """Set the state of all failure domains and wait until all nodes have applied it."""
     changes = [
         ("failure_domains", name, FailureDomain(name, "munster", state))
         for name in DOMAINS
@@ -27,9 +28,12 @@
 
 
 def freeze_owner(fleet):
-    """Freeze the owner of the bookings' cell, so that requests wait for a permit.
+    """Freeze the owner of the booking cell, so that requests wait for a permit.
 
-    Returns the owner and the other two nodes.
+    Returns
+    -------
+    tuple of node
+        The owner and the two other nodes.
     """
     owners = [
         name
@@ -43,7 +47,7 @@
 
 
 def check(fleet, key, answers):
-    """Check what must hold in every run, and return the number of runs."""
+    """Check what must always hold, and return the number of runs of the key."""
     runs = count_runs(fleet, key)
     assert runs <= 1
     assert find_false_not_run(fleet, answers) == []
@@ -53,7 +57,7 @@
 
 
 def test_deposit_sent_through_two_nodes_at_once_runs_once(fleet):
-    """A caller's library sends the same deposit through two nodes at once."""
+    """A client library sends the same deposit to several nodes concurrently."""
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(8) as pool:
         for _ in range(5):
@@ -64,7 +68,7 @@
 
 
 def test_lost_answers_of_the_log_do_not_lose_or_double_a_deposit(fleet):
-    """The log takes a claim, and its answer gets lost on the way back."""
+    """The log appends a claim, but its response is lost."""
     nodes = list(fleet.nodes.values())
     fleet.set_faults("platform", lose_answers=3)
     key = get_key(nodes[1])
@@ -74,7 +78,7 @@
 
 
 def test_a_slow_log_delays_a_deposit_and_does_not_double_it(fleet):
-    """Each call to the log takes a second, and the caller asks again elsewhere."""
+    """Each call to the log takes 1 s, and the caller sends the deposit to two nodes."""
     nodes = list(fleet.nodes.values())
     key = get_key(nodes[0])
     fleet.set_faults("platform", slow_s=1.0)
@@ -96,8 +100,8 @@
     assert count_runs(fleet, key) == 1
 
 
-def test_a_rival_customer_can_not_use_a_key(fleet):
-    """One house learns another's key; the recorded answer must stay its owner's."""
+def test_a_customer_can_not_use_the_key_of_another(fleet):
+    """A customer that learns another's key must not get the recorded answer."""
     nodes = list(fleet.nodes.values())
     key = get_key(nodes[0], customer="kestrel")
     assert book(nodes[0], key, customer="kestrel").status == 200
@@ -105,7 +109,7 @@
 
 
 def test_a_service_that_refuses_or_breaks_gives_the_right_outcome(fleet):
-    """A replica says that it is busy; another dies with the call in its hands."""
+    """All replicas refuse a call; then the replica that runs a call fails."""
     node = next(iter(fleet.nodes.values()))
     for name in fleet.services:
         fleet.set_faults(name, refuse=True)
@@ -123,9 +127,9 @@
 
 @pytest.mark.parametrize("moment", ["before", "during", "after"])
 def test_a_deposit_resent_after_its_node_was_killed(own_fleet, moment):
-    """The node is killed before, while, or after the service runs the deposit.
+    """The node is killed before, while or after the service runs the deposit.
 
-    The caller's connection breaks, and it asks again through another node.
+    The caller's connection breaks, and it retries through another node.
     """
     fleet = own_fleet
     first, second, _ = fleet.nodes.values()
@@ -156,10 +160,10 @@
 
 
 def test_a_deposit_whose_node_is_frozen_past_every_lease(own_fleet):
-    """A node claims a deposit, is frozen while it waits for a replica, and thaws.
+    """A node claims a deposit and is frozen while it waits for a permit.
 
-    Meanwhile the caller has asked another node. A thawed node that still sent its
-    call would book twice.
+    Meanwhile the caller retries through another node. If the first node still sent its
+    call after it resumes, the deposit could run twice.
     """
     fleet = own_fleet
     owner, first, second = freeze_owner(fleet)
@@ -178,11 +182,11 @@
     check(fleet, key, [frozen, again, later])
 
 
-def test_an_outage_of_the_log_does_not_stop_buyers(own_fleet):
-    """The log is out; buyers fetch keys and book through any node meanwhile.
+def test_an_outage_of_the_log_does_not_stop_bookings(own_fleet):
+    """During an outage of the log, callers get keys and book through any node.
 
-    A key that was fetched before the outage can't be confirmed, and says so; it must
-    neither run nor be called "not run", since another node may have run it.
+    A key issued before the outage can't be claimed, and the error says so. It must
+    neither run nor be reported as "not run", since another node may have run it.
     """
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
@@ -201,9 +205,10 @@
 
 
 def test_a_key_of_an_outage_whose_node_died_stays_unknown_or_answered(own_fleet):
-    """The node that issued a key in an outage runs it and is killed.
+    """The node that issued a key during an outage of the log runs it and is killed.
 
-    No record can have been written, so another node can't know; it must not run it.
+    No record can have been written, so no other node can know the outcome or may run
+    the key.
     """
     fleet = own_fleet
     first, second, _ = fleet.nodes.values()
@@ -219,8 +224,8 @@
     assert check(fleet, key, [during, after]) == 1
 
 
-def test_a_key_older_than_the_logs_memory_is_not_run_again(own_fleet):
-    """The log drops the record of a deposit; days later the buyer asks again."""
+def test_a_key_older_than_the_retained_log_is_not_run_again(own_fleet):
+    """A deposit is retried days later, after the log has dropped its records."""
     fleet = own_fleet
     first, second, _ = fleet.nodes.values()
     key = get_key(first)
@@ -235,8 +240,8 @@
     assert check(fleet, key, [again]) == 1
 
 
-def test_not_run_is_told_only_where_nothing_started(own_fleet):
-    """No replica is open until the deadline; the caller is told "not run"."""
+def test_not_run_is_reported_only_if_nothing_started(own_fleet):
+    """A call for which no replica is open until its deadline ends as "not run"."""
     fleet = own_fleet
     node = next(iter(fleet.nodes.values()))
     key = get_key(node)
@@ -250,10 +255,11 @@
     assert check(fleet, key, [answer, again]) == 1
 
 
-def test_a_refusal_does_not_say_of_a_key_that_ran_that_it_has_not(fleet):
-    """A deposit ran, its answer was lost, and its caller asks again at another node.
+def test_a_refused_retry_of_a_key_that_ran_is_not_reported_as_not_run(fleet):
+    """A caller lost the answer to a deposit and retries through another node.
 
-    That one refuses the request as it comes, late or not ready, and said "not run".
+    That node refused the retry on arrival, because its deadline had passed or the node
+    was not ready, and answered "not run", although the key had run.
     """
     first, second, _ = fleet.nodes.values()
     key = get_key(first)
@@ -264,10 +270,11 @@
     assert count_runs(fleet, key) == 1
 
 
-def test_a_node_that_is_not_ready_does_not_say_of_a_key_that_it_has_not_run(own_fleet):
-    """A deposit ran, and its caller asks again at a node that has just started.
+def test_a_node_that_is_not_ready_does_not_report_a_key_that_ran_as_not_run(own_fleet):
+    """A deposit that ran is retried through a node that has just started.
 
-    The log and the list of hosts are out, so that node knows nothing, and refuses.
+    The log and the host list are unreachable, so that node has no configuration or view
+    and refuses the request.
     """
     fleet = own_fleet
     first = next(iter(fleet.nodes.values()))
--- a/lycheetide/node/tests/test_stop.py
+++ b/lycheetide/node/tests/test_stop.py
@@ -1,11 +1,11 @@
-"""A planned stop cuts no request."""
+"""A planned stop interrupts no request."""
 
 import signal
 import time
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from lycheetide.node._run import HAND_OVER_PATIENCE_S
+from lycheetide.node._run import HAND_OVER_TIMEOUT_S
 from lycheetide.node.tests.test_domains import keep_asking
 from standins.callers import ask_prompt, book, count_runs, get_key
 from standins.promises import find_broken, wait_memory_free
@@ -13,11 +13,11 @@
 STOP_S = 60.0
 
 
-def ask_ready(fleet, pool, seconds):
-    """Send prompts as a balancer that lags: to nodes that were ready lately."""
+def ask_ready_nodes(fleet, pool, seconds):
+    """Send prompts like a lagging load balancer: to nodes that were ready 0.2 s ago."""
     jobs: list[Any] = []
-    begun_s = time.monotonic()
-    while time.monotonic() - begun_s < seconds:
+    started_s = time.monotonic()
+    while time.monotonic() - started_s < seconds:
         ready = [
             node
             for node in list(fleet.nodes.values())
@@ -34,10 +34,10 @@
     return jobs
 
 
-def test_two_nodes_stop_at_one_moment_with_long_answers_in_hand(own_fleet):
+def test_two_nodes_stop_at_once_while_they_stream_long_answers(own_fleet):
     """Two of three nodes get SIGTERM while they stream long answers.
 
-    What they own must not go from one to the other, which leaves as well.
+    A leaving node must not hand its cells over to the other one, which leaves as well.
     """
     fleet = own_fleet
     first, second, third = fleet.nodes.values()
@@ -62,9 +62,9 @@
 
 
 def test_a_node_that_stops_in_an_outage_records_its_bookings_first(own_fleet):
-    """A node books during an outage of the log and is told to stop before its end.
+    """A node runs a booking during an outage of the log and is stopped before its end.
 
-    Had it gone at once, nobody could ever tell the buyer whether the booking ran.
+    If the node ended at once, the outcome of the booking could never be determined.
     """
     fleet = own_fleet
     first, second, _ = fleet.nodes.values()
@@ -73,7 +73,7 @@
     key = get_key(first)
     booked = book(first, key)
     first.signal(signal.SIGTERM)
-    time.sleep(HAND_OVER_PATIENCE_S + 3.0)
+    time.sleep(HAND_OVER_TIMEOUT_S + 3.0)
     assert first.is_running()
     fleet.set_faults("platform", down=False)
     first.popen.wait(STOP_S)
@@ -84,21 +84,21 @@
 
 
 def test_all_nodes_are_replaced_one_by_one_under_load(own_fleet):
-    """Operators replace every host, each by a new one, while callers keep asking."""
+    """Every node is replaced by a new one while callers keep sending requests."""
     fleet = own_fleet
     old = list(fleet.nodes)
     with ThreadPoolExecutor(100) as pool:
-        jobs = ask_ready(fleet, pool, 0.5)
+        jobs = ask_ready_nodes(fleet, pool, 0.5)
         for index, name in enumerate(old):
             fleet.start_node(f"entry-{index + 4}", fleet.nodes[name].failure_domain)
-            jobs += ask_ready(fleet, pool, 2.0)
+            jobs += ask_ready_nodes(fleet, pool, 2.0)
             leaving = fleet.nodes[name]
             leaving.signal(signal.SIGTERM)
-            jobs += ask_ready(fleet, pool, 1.0)
+            jobs += ask_ready_nodes(fleet, pool, 1.0)
             leaving.popen.wait(STOP_S)
             del fleet.nodes[name]
             fleet.list_hosts()
-        # A balancer sends nothing to a host that has never been ready.
+        # A load balancer sends nothing to a host that has never been ready.
         fleet.wait_ready(may_have_ended=True)
         jobs += keep_asking(fleet, pool, 1.0)
         answers = [job.result() for job in jobs]
