--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -15,7 +15,7 @@
     RELAY_POLICIES,
     PromptKind,
     RelayModel,
-    model_relays,
+    simulate_relays,
 )
 
 RESULTS = Path(__file__).parent / "results" / "placement.json"
@@ -39,7 +39,7 @@
         PromptKind("dossier", 3.06, 45_000, 110_000, 0.5, 18, 1.532, 0.6, 3.3),
         PromptKind("digest", 1.45, 190_000, 230_000, 0.55, 15, 3.055, 1.0, 20.0),
     ),
-    told_s=0.045,
+    gossip_delay_s=0.045,
 )
 """Rates, lengths and targets of the users' two fleets. 0.045 s was how late nodes of a
 large fleet knew of one another's work with bundles of 40 ms, the worst that was tried.
@@ -56,12 +56,12 @@
 def measure(model, policy):
     """Return a policy's mean worth over the seeds, and each kind's share in time."""
     runs = [
-        model_relays(model, policy, seconds=SECONDS, random_state=seed)
+        simulate_relays(model, policy, seconds=SECONDS, random_state=seed)
         for seed in SEEDS
     ]
     row = {"worth": sum(run.worth for run in runs) / len(runs)}
     for place, kind in enumerate(model.kinds):
-        row[kind.name] = sum(run.kinds[place].good for run in runs) / len(runs)
+        row[kind.name] = sum(run.kinds[place].goodput for run in runs) / len(runs)
     return {name: round(value, 3) for name, value in row.items()}
 
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -13,7 +13,7 @@
 from matplotlib.figure import Figure
 
 from lycheetide.load import plan_requests
-from lycheetide.model import POLICIES, ModelSettings, run_model
+from lycheetide.model import POLICIES, SimulationSettings, simulate_engines
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = ROOT / "benchmarks" / "results" / "policy.json"
@@ -55,7 +55,9 @@
 
 def describe(results, span_s):
     """Return the figures of one run."""
-    shorts = [r.first_s for r in results if is_short(r) and r.first_s is not None]
+    shorts = [
+        r.first_token_s for r in results if is_short(r) and r.first_token_s is not None
+    ]
     answered = [r for r in results if r.outcome == "answered"]
     return {
         "short_p50_s": find_quantile(shorts, 0.50),
@@ -70,13 +72,14 @@
         "goodput_tokens_per_s": round(
             sum(r.planned.prompt_tokens for r in answered) / span_s
         ),
-        "prefix_hits": round(sum(r.has_hit for r in results) / len(results), 4),
+        "prefix_hits": round(sum(r.has_cache_hit for r in results) / len(results), 4),
         "first_p95_s_by_length": {
             f"{low}-{high}": find_quantile(
                 [
-                    r.first_s
+                    r.first_token_s
                     for r in results
-                    if r.first_s is not None and low <= r.planned.prompt_tokens < high
+                    if r.first_token_s is not None
+                    and low <= r.planned.prompt_tokens < high
                 ],
                 0.95,
             )
@@ -91,10 +94,10 @@
     span_s = plan[-1].at_s
     alone = [request for request in plan if request.request_class == "quote"]
     rows = {
-        name: describe(run_model(make, plan, settings=settings), span_s)
+        name: describe(simulate_engines(make, plan, settings=settings), span_s)
         for name, make in POLICIES.items()
     }
-    results = run_model(POLICIES["lycheetide"], alone, settings=settings)
+    results = simulate_engines(POLICIES["lycheetide"], alone, settings=settings)
     rows["short prompts alone"] = describe(results, span_s)
     return rows
 
@@ -108,7 +111,7 @@
         (0.6 * span_s, "d-b", "returning"),
         (0.8 * span_s, "d-b", "in"),
     )
-    changed = ModelSettings(
+    changed = SimulationSettings(
         replicas=settings.replicas,
         tokens_per_s=settings.tokens_per_s,
         kv_capacity_tokens=settings.kv_capacity_tokens,
@@ -117,7 +120,7 @@
     rows = {}
     series = {}
     for name in ("lycheetide", "least outstanding", "least outstanding, priorities"):
-        results = run_model(POLICIES[name], plan, settings=changed)
+        results = simulate_engines(POLICIES[name], plan, settings=changed)
         rows[name] = describe(results, span_s)
         series[name] = make_series(results, span_s)
     return rows, series, [change[0] / span_s for change in changes[:2]]
@@ -129,7 +132,9 @@
     for bucket in range(BUCKETS):
         low, high = bucket * span_s / BUCKETS, (bucket + 1) * span_s / BUCKETS
         inside = [r for r in results if is_short(r) and low <= r.planned.at_s < high]
-        good = sum(r.first_s is not None and r.first_s <= 1.0 for r in inside)
+        good = sum(
+            r.first_token_s is not None and r.first_token_s <= 1.0 for r in inside
+        )
         series.append(good / len(inside) if inside else None)
     return series
 
@@ -140,7 +145,7 @@
     for name in ("lycheetide", "least outstanding, priorities"):
         for percent in (70, 90, 110, 130, 150):
             plan = make_plan(percent / 100, seed=seed, count=count, settings=settings)
-            results = run_model(POLICIES[name], plan, settings=settings)
+            results = simulate_engines(POLICIES[name], plan, settings=settings)
             end_s = max(r.planned.at_s + (r.total_s or 0.0) for r in results)
             rows[f"{name} at {percent}%"] = describe(results, end_s)
     return rows
@@ -210,7 +215,7 @@
     parser.add_argument("--seed", type=int, default=7)
     parser.add_argument("--count", type=int, default=6_000)
     args = parser.parse_args()
-    settings = ModelSettings()
+    settings = SimulationSettings()
     fixed = {"seed": args.seed, "count": args.count, "settings": settings}
     sharing = measure_sharing(**fixed)
     domain, series, marks = measure_domain(**fixed)
--- a/benchmarks/tests/test_capacity.py
+++ b/benchmarks/tests/test_capacity.py
@@ -5,7 +5,7 @@
 from benchmarks.capacity import CONTROL, PAGE, make_table, replace_table
 
 
-def test_the_page_holds_the_table_that_the_measured_slopes_give():
+def test_capacity_page_matches_measurements():
     page = PAGE.read_text()
     table = make_table(json.loads(CONTROL.read_text()))
     assert replace_table(page, table) == page
--- a/examples/plot_huge_beside_short.py
+++ b/examples/plot_huge_beside_short.py
@@ -8,7 +8,7 @@
 from matplotlib.figure import Figure
 
 from lycheetide.load import plan_requests
-from lycheetide.model import POLICIES, run_model
+from lycheetide.model import POLICIES, simulate_engines
 
 NAMES = ("least outstanding", "lycheetide")
 PLAN = list(plan_requests(1_500, rate_per_s=60.0, random_state=3, answer_tokens=32))
@@ -19,9 +19,13 @@
     figure = Figure(figsize=(8, 4), layout="constrained")
     panels = figure.subplots(1, len(NAMES), sharey=True)
     for axes, name in zip(panels, NAMES, strict=True):
-        results = [r for r in run_model(POLICIES[name], PLAN) if r.first_s is not None]
+        results = [
+            r
+            for r in simulate_engines(POLICIES[name], PLAN)
+            if r.first_token_s is not None
+        ]
         tokens = [r.planned.prompt_tokens for r in results]
-        axes.scatter(tokens, [r.first_s for r in results], s=8, alpha=0.5)
+        axes.scatter(tokens, [r.first_token_s for r in results], s=8, alpha=0.5)
         axes.set_title(name)
         axes.set_xscale("log")
         axes.set_yscale("log")
--- a/lycheetide/model/__init__.py
+++ b/lycheetide/model/__init__.py
@@ -1,7 +1,15 @@
-"""A small model of engines in virtual time, to measure decisions against baselines."""
+"""Discrete-event simulations of engines, to compare policies with baselines.
 
-from lycheetide.model._drive import ModelResult, ModelSettings, run_model
-from lycheetide.model._engine import EngineModel, Job
+Time is virtual: a simulation never reads a clock, so a seed gives the same result on
+every machine.
+"""
+
+from lycheetide.model._engine import BatchingEngine, EngineJob
+from lycheetide.model._engine_simulation import (
+    RequestResult,
+    SimulationSettings,
+    simulate_engines,
+)
 from lycheetide.model._policies import (
     POLICIES,
     make_affinity,
@@ -11,32 +19,32 @@
     make_round_robin,
 )
 from lycheetide.model._relay_policies import RELAY_POLICIES
-from lycheetide.model._relays import (
+from lycheetide.model._relay_simulation import (
     DENSE_ENGINE,
     KindResult,
     PromptKind,
     RelayModel,
     RelayResult,
-    model_relays,
+    simulate_relays,
 )
 
 __all__ = [
     "DENSE_ENGINE",
     "POLICIES",
     "RELAY_POLICIES",
-    "EngineModel",
-    "Job",
+    "BatchingEngine",
+    "EngineJob",
     "KindResult",
-    "ModelResult",
-    "ModelSettings",
     "PromptKind",
     "RelayModel",
     "RelayResult",
+    "RequestResult",
+    "SimulationSettings",
     "make_affinity",
     "make_least_outstanding",
     "make_lycheetide",
     "make_random",
     "make_round_robin",
-    "model_relays",
-    "run_model",
+    "simulate_engines",
+    "simulate_relays",
 ]
--- a/lycheetide/model/_engine.py
+++ b/lycheetide/model/_engine.py
@@ -1,32 +1,32 @@
-"""One engine that batches continuously, step by step, in virtual time."""
+"""Simulated engine with continuous batching and chunked prefill."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
 CHUNK_TOKENS = 4_096
 DECODE_BASE_S = 0.008
-DECODE_EACH_S = 0.0002
-CONTEXT_S_PER_TOKEN = 5e-9
-"""How much longer a step takes for each token of context that it reads."""
+DECODE_S_PER_REQUEST = 0.0002
+DECODE_S_PER_CONTEXT_TOKEN = 5e-9
+"""Additional time of a step for each context token of the decoding requests."""
 
-PREFIX_SHARE = 0.2
-"""The share of the memory that cached prefixes may fill."""
+PREFIX_CACHE_SHARE = 0.2
+"""Share of the KV cache that cached prefixes may take."""
 
 
 @dataclass
-class Job:
-    """One request, or one segment of a spanning one, at an engine.
+class EngineJob:
+    """A request at an engine, or one segment of a request split over several.
 
     Parameters
     ----------
     request_id : str
         The request.
     priority : int
-        0 is read first.
+        Prompts with the smallest number are prefilled first.
     prompt_tokens, answer_tokens : int
-        Its size; a segment that is not the head has no answer.
+        Its size. Only the head segment writes an answer; the others have 0 tokens.
     prefix_key : str
-        What of it may be cached.
+        Key of its prompt in the prefix cache; empty if it isn't cached.
     """
 
     request_id: str
@@ -35,30 +35,30 @@
     answer_tokens: int
     prefix_key: str = ""
     order: int = 0
-    unread_tokens: float = 0.0
-    unsent_tokens: int = 0
-    first_s: float | None = None
+    pending_prefill_tokens: float = 0.0
+    pending_answer_tokens: int = 0
+    first_token_s: float | None = None
     cached_tokens: int = 0
 
     @property
     def total_tokens(self):
-        """The memory that it holds."""
+        """KV cache tokens that it takes."""
         return self.prompt_tokens + self.answer_tokens
 
 
-class EngineModel:
-    """The state of one engine.
+class BatchingEngine:
+    """A simulated engine with continuous batching.
 
     Parameters
     ----------
     name : str
-        The replica.
+        Name of the replica.
     tokens_per_s : float
-        How fast it reads prompts.
+        Prefill rate.
     kv_capacity_tokens : int
-        Its memory.
+        KV cache capacity.
     honours_priority : bool
-        Whether it reads prompts of a smaller priority number first.
+        Whether it prefills prompts with a smaller priority number first.
     """
 
     def __init__(
@@ -69,24 +69,24 @@
         self.kv_capacity_tokens = kv_capacity_tokens
         self.honours_priority = honours_priority
         self.waiting = []
-        self.reading = []
-        self.sending = []
+        self.prefilling = []
+        self.decoding = []
         self.used_tokens = 0
         self.prefixes = OrderedDict()
         self.boot = 0
         self.is_stepping = False
-        self.orders = 0
+        self.last_order = 0
 
     def add(self, job):
-        """Take a job; it waits while there is not enough memory."""
-        self.orders += 1
-        job.order = self.orders
+        """Add a job; it waits until there is enough memory."""
+        self.last_order += 1
+        job.order = self.last_order
         self.waiting.append(job)
         self._admit()
 
     def _admit(self):
-        """Let waiting jobs in, in order, as far as the memory goes."""
-        self.waiting.sort(key=self._rank)
+        """Admit waiting jobs in order until the next one doesn't fit into memory."""
+        self.waiting.sort(key=self._sort_key)
         while self.waiting:
             job = self.waiting[0]
             if self.used_tokens + job.total_tokens > self.kv_capacity_tokens:
@@ -96,59 +96,59 @@
             job.cached_tokens = min(
                 self.prefixes.get(job.prefix_key, 0), job.prompt_tokens - 1
             )
-            job.unread_tokens = job.prompt_tokens - job.cached_tokens
-            self.reading.append(job)
+            job.pending_prefill_tokens = job.prompt_tokens - job.cached_tokens
+            self.prefilling.append(job)
 
-    def _rank(self, job):
-        """Return the order in which prompts are read."""
+    def _sort_key(self, job):
+        """Return the sort key for admission and prefill."""
         return (job.priority if self.honours_priority else 0, job.order)
 
-    def step(self):
-        """Plan one step.
+    def begin_step(self):
+        """Begin a step.
 
         Returns
         -------
         float or None
-            How long it takes; None if there is nothing to do.
+            Duration of the step; None if there is nothing to do.
         """
-        if not self.reading and not self.sending:
+        if not self.prefilling and not self.decoding:
             return None
         budget = CHUNK_TOKENS
         read = 0.0
-        for job in sorted(self.reading, key=self._rank):
-            part = min(budget, job.unread_tokens)
-            job.unread_tokens -= part
+        for job in sorted(self.prefilling, key=self._sort_key):
+            part = min(budget, job.pending_prefill_tokens)
+            job.pending_prefill_tokens -= part
             budget -= part
             read += part
             if budget <= 0:
                 break
-        context = sum(job.total_tokens for job in self.sending)
-        took_s = read / self.tokens_per_s + context * CONTEXT_S_PER_TOKEN
-        if self.sending:
-            took_s += DECODE_BASE_S + DECODE_EACH_S * len(self.sending)
-        return max(took_s, 1e-4)
+        context = sum(job.total_tokens for job in self.decoding)
+        duration_s = read / self.tokens_per_s + context * DECODE_S_PER_CONTEXT_TOKEN
+        if self.decoding:
+            duration_s += DECODE_BASE_S + DECODE_S_PER_REQUEST * len(self.decoding)
+        return max(duration_s, 1e-4)
 
     def finish_step(self, now_s):
-        """End a step.
+        """Finish a step.
 
         Returns
         -------
-        started, ended : list of Job
-            Jobs whose prompt has been read, and jobs that are done.
+        started, ended : list of EngineJob
+            Jobs whose prefill is complete, and jobs whose answer is.
         """
         ended = []
-        for job in self.sending:
-            job.unsent_tokens -= 1
-            if job.unsent_tokens <= 0:
+        for job in self.decoding:
+            job.pending_answer_tokens -= 1
+            if job.pending_answer_tokens <= 0:
                 ended.append(job)
-        started = [job for job in self.reading if job.unread_tokens <= 0]
+        started = [job for job in self.prefilling if job.pending_prefill_tokens <= 0]
         for job in started:
-            self.reading.remove(job)
-            job.first_s = now_s
-            job.unsent_tokens = job.answer_tokens - 1
-            self._remember(job)
-            if job.unsent_tokens > 0:
-                self.sending.append(job)
+            self.prefilling.remove(job)
+            job.first_token_s = now_s
+            job.pending_answer_tokens = job.answer_tokens - 1
+            self._cache_prefix(job)
+            if job.pending_answer_tokens > 0:
+                self.decoding.append(job)
             elif job.answer_tokens:
                 ended.append(job)
         for job in ended:
@@ -156,35 +156,35 @@
         return started, ended
 
     def release(self, job):
-        """Give an admitted job's memory back."""
-        for jobs in (self.sending, self.reading):
+        """Release the memory of an admitted job."""
+        for jobs in (self.decoding, self.prefilling):
             if job in jobs:
                 jobs.remove(job)
         self.used_tokens -= job.total_tokens
         self._admit()
 
     def cancel(self, job):
-        """Forget a job, whether it was admitted or not."""
+        """Remove a job, whether it has been admitted or not."""
         if job in self.waiting:
             self.waiting.remove(job)
         else:
             self.release(job)
 
-    def _remember(self, job):
-        """Cache the prompt's prefix; the oldest ones make room."""
+    def _cache_prefix(self, job):
+        """Cache the prompt's prefix and evict the oldest ones beyond the limit."""
         if not job.prefix_key:
             return
         self.prefixes[job.prefix_key] = job.prompt_tokens
         self.prefixes.move_to_end(job.prefix_key)
-        room = PREFIX_SHARE * self.kv_capacity_tokens
-        while sum(self.prefixes.values()) > room and len(self.prefixes) > 1:
+        limit_tokens = PREFIX_CACHE_SHARE * self.kv_capacity_tokens
+        while sum(self.prefixes.values()) > limit_tokens and len(self.prefixes) > 1:
             self.prefixes.popitem(last=False)
 
-    def unread_tokens(self):
-        """Sum the prompt tokens that are still to be read."""
+    def pending_prefill_tokens(self):
+        """Return the number of prompt tokens that haven't been prefilled yet."""
         waiting = sum(job.prompt_tokens for job in self.waiting)
-        return waiting + sum(job.unread_tokens for job in self.reading)
+        return waiting + sum(job.pending_prefill_tokens for job in self.prefilling)
 
     def running(self):
-        """Count the jobs."""
-        return len(self.waiting) + len(self.reading) + len(self.sending)
+        """Return the number of jobs, waiting ones included."""
+        return len(self.waiting) + len(self.prefilling) + len(self.decoding)
--- a/lycheetide/model/_policies.py
+++ b/lycheetide/model/_policies.py
@@ -1,7 +1,7 @@
-"""What decides in the model: this project's scheduler, and baselines.
+"""Scheduling policies for the simulation: this project's, and baselines.
 
-A policy is a function that is told of the fleet once and returns functions for the
-driver; all of them see load reports only after their lag.
+A policy is a function that takes the fleet and returns a ``Scheduler``, the functions
+that the simulation calls. All policies get load reports with the same delay.
 """
 
 import itertools
@@ -17,31 +17,34 @@
 from lycheetide.scheduling import Cell, Policy, Report, Ticket
 
 SEGMENT_SHARE = 0.8
-CELL_REPLICAS = 8
+REPLICAS_PER_CELL = 8
 
 
 @dataclass(frozen=True)
-class Decider:
-    """The functions of one policy.
+class Scheduler:
+    """The functions of a policy that the simulation calls.
 
     Parameters
     ----------
     arrive : callable
-        Takes a ticket and the time; raises ``NotRun`` to refuse.
+        Called with a ticket and the time; raises ``NotRun`` to refuse the request.
     decide : callable
-        Takes the time; yields (ticket, replica names).
+        Called with the time; yields pairs of a ticket and its replicas' names.
     end : callable
-        Takes a request id, the replicas' names and the time.
+        Called with a request id, its replicas' names and the time.
     report : callable
-        Takes a replica's name, its report, when it was asked for, and the time.
+        Called with a replica's name, its load report, the time at which the report was
+        requested, and the present time.
     share : callable
-        Takes the time; called at each heartbeat.
+        Called with the time at each heartbeat.
     configure : callable
-        Takes the failure domains and the time.
+        Called with the failure domains and the time.
     find_unproved : callable
-        Returns the replicas of which a report is wanted at once.
+        Returns the names of the replicas whose load must be reported at once.
     withdraw : callable
-        Takes the id of a request that waits no more.
+        Called with the id of a request that no longer waits.
+    uses_priority : bool
+        Whether engines prefill prompts by priority.
     """
 
     arrive: Callable[..., Any]
@@ -55,25 +58,27 @@
     uses_priority: bool = True
 
 
-def make_lycheetide(upstreams, domains, draw, *, policy=None):
-    """Return this project's decisions: cells with one owner each."""
-    groups: dict[str, list[Upstream]] = {}
-    cells_needed = -(-len(upstreams) // CELL_REPLICAS)
+def make_lycheetide(upstreams, domains, rng, *, policy=None):
+    """Return this project's scheduler: cells with one owner each."""
+    cell_members: dict[str, list[Upstream]] = {}
+    cells_needed = -(-len(upstreams) // REPLICAS_PER_CELL)
     for index, upstream in enumerate(upstreams):
-        groups.setdefault(f"cell-{index % cells_needed}", []).append(upstream)
+        cell_members.setdefault(f"cell-{index % cells_needed}", []).append(upstream)
     cells = {}
-    for name, members in groups.items():
+    for name, members in cell_members.items():
         cells[name] = Cell(name, owner_id=name, policy=policy or Policy())
         cells[name].is_settled = True
         cells[name].apply_upstreams(members, domains, now_s=0.0)
-    homes = {u.name: name for name, members in groups.items() for u in members}
+    cell_by_replica = {
+        u.name: name for name, members in cell_members.items() for u in members
+    }
     summaries: dict[str, Any] = {}
     permits: dict[str, Any] = {}
 
     def arrive(ticket, now_s):
         ranked = rank_cells(
             sorted(cells), summaries, prefix_key=ticket.prefix_key,
-            prompt_tokens=ticket.prompt_tokens, draw=draw.random,
+            prompt_tokens=ticket.prompt_tokens, draw=rng.random,
         )  # fmt: skip
         refusals = []
         for name in ranked:
@@ -95,14 +100,16 @@
         cell.finish(permit_id)
 
     def report(name, report, asked_s, now_s):
-        cells[homes[name]].take_report(name, report, asked_s=asked_s, now_s=now_s)
+        cells[cell_by_replica[name]].take_report(
+            name, report, asked_s=asked_s, now_s=now_s
+        )
 
     def share(now_s):
         for name, cell in cells.items():
             summaries[name] = cell.summarize(now_s=now_s)
 
     def configure(domains, now_s):
-        for name, members in groups.items():
+        for name, members in cell_members.items():
             cells[name].apply_upstreams(members, domains, now_s=now_s)
 
     def find_unproved():
@@ -112,17 +119,17 @@
         for cell in cells.values():
             cell.withdraw(f"t{request_id[1:]}")
 
-    return Decider(
+    return Scheduler(
         arrive, decide, end, report, share, configure, find_unproved, withdraw
     )
 
 
 def _make_baseline(upstreams, domains, rank, *, uses_priority):
-    """Return a policy that sends each request at once to the best by ``rank``.
+    """Return a scheduler that sends each request at once to the best replica.
 
-    ``rank`` takes a ticket, an upstream, its last report and how many requests were
-    sent there since; the smallest wins. A prompt above one engine's memory goes to as
-    many as it needs.
+    ``rank`` is called with a ticket, an upstream, its last report and the number of
+    requests in progress there; the replica with the smallest result gets the request. A
+    prompt that exceeds the memory of one engine is split over as many as it needs.
     """
     by_name = {u.name: u for u in upstreams}
     reports = {u.name: Report("b", True) for u in upstreams}
@@ -130,9 +137,9 @@
     state = {"domains": domains}
     queue: list[Ticket] = []
 
-    def list_open():
-        present = state["domains"]
-        return [u for u in upstreams if takes_new_work(u, present)]
+    def list_usable():
+        current_domains = state["domains"]
+        return [u for u in upstreams if takes_new_work(u, current_domains)]
 
     def arrive(ticket, now_s):
         queue.append(ticket)
@@ -140,7 +147,7 @@
     def decide(now_s):
         while queue:
             ticket = queue.pop(0)
-            usable = list_open()
+            usable = list_usable()
             capacity = usable[0].kv_capacity_tokens
             parts = 1
             if ticket.total_tokens > capacity:
@@ -161,69 +168,69 @@
     def report(name, report, asked_s, now_s):
         reports[name] = replace(report, at_s=asked_s)
 
-    def nothing(*_):
+    def do_nothing(*_):
         return []
 
     def configure(domains, now_s):
         state["domains"] = domains
 
-    return Decider(
+    return Scheduler(
         arrive,
         decide,
         end,
         report,
-        nothing,
+        do_nothing,
         configure,
-        nothing,
-        nothing,
+        do_nothing,
+        do_nothing,
         uses_priority,
     )
 
 
-def make_random(upstreams, domains, draw):
-    """Send each request to any replica."""
+def make_random(upstreams, domains, rng):
+    """Send each request to a random replica."""
 
     def rank(ticket, upstream, report, outstanding):
-        return draw.random()
+        return rng.random()
 
     return _make_baseline(upstreams, domains, rank, uses_priority=False)
 
 
-def make_round_robin(upstreams, domains, draw):
+def make_round_robin(upstreams, domains, rng):
     """Send requests to the replicas in turn."""
-    turns = itertools.count()
-    last = {u.name: -1 for u in upstreams}
+    turn_numbers = itertools.count()
+    last_turn = {u.name: -1 for u in upstreams}
 
     def rank(ticket, upstream, report, outstanding):
-        return last[upstream.name]
+        return last_turn[upstream.name]
 
-    decider = _make_baseline(upstreams, domains, rank, uses_priority=False)
+    scheduler = _make_baseline(upstreams, domains, rank, uses_priority=False)
 
     def decide(now_s):
-        for ticket, names in decider.decide(now_s):
+        for ticket, names in scheduler.decide(now_s):
             for name in names:
-                last[name] = next(turns)
+                last_turn[name] = next(turn_numbers)
             yield ticket, names
 
-    return replace(decider, decide=decide)
+    return replace(scheduler, decide=decide)
 
 
-def make_least_outstanding(upstreams, domains, draw, *, uses_priority=False):
+def make_least_outstanding(upstreams, domains, rng, *, uses_priority=False):
     """Send each request to the replica with the fewest requests in progress."""
 
     def rank(ticket, upstream, report, outstanding):
-        return outstanding, draw.random()
+        return outstanding, rng.random()
 
     return _make_baseline(upstreams, domains, rank, uses_priority=uses_priority)
 
 
-def make_least_with_priority(upstreams, domains, draw):
-    """Like least outstanding, and let the engines read short prompts first."""
-    return make_least_outstanding(upstreams, domains, draw, uses_priority=True)
+def make_least_with_priority(upstreams, domains, rng):
+    """Like ``make_least_outstanding``, with engines that prefill by priority."""
+    return make_least_outstanding(upstreams, domains, rng, uses_priority=True)
 
 
-def make_affinity(upstreams, domains, draw):
-    """Send each prefix always to its own replica, however loaded that is."""
+def make_affinity(upstreams, domains, rng):
+    """Send all requests with a prefix to one replica, whatever its load."""
 
     def rank(ticket, upstream, report, outstanding):
         text = f"{ticket.prefix_key or ticket.request_id}\0{upstream.name}"
@@ -232,7 +239,7 @@
     return _make_baseline(upstreams, domains, rank, uses_priority=False)
 
 
-POLICIES: dict[str, Callable[..., Decider]] = {
+POLICIES: dict[str, Callable[..., Scheduler]] = {
     "lycheetide": make_lycheetide,
     "random": make_random,
     "round robin": make_round_robin,
--- a/lycheetide/model/_relay_policies.py
+++ b/lycheetide/model/_relay_policies.py
@@ -1,4 +1,4 @@
-"""Policies that place prompts in the model of relays: the product's, and baselines."""
+"""Placement policies for the simulation of relays: this project's, and baselines."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -15,37 +15,37 @@
 )
 from lycheetide.routes import Engine
 
-HELPED_TOKENS = ((60_000, 7), (20_000, 3))
-"""Prompts over so many tokens are read together with so many others by the plain relay
-with helpers, our baseline."""
+HELPERS_BY_PROMPT_TOKENS = ((60_000, 7), (20_000, 3))
+"""Pairs of a prompt length and a number of helper replicas, as the baseline "relay with
+helpers" uses them: longer prompts are prefilled with so many helpers."""
 
 
 @dataclass(frozen=True)
-class Asked:
-    """What a policy is asked.
+class PlacementQuery:
+    """Input of a placement policy.
 
     Parameters
     ----------
     engine : Engine
-        The replicas' figures.
+        Performance figures of the replicas.
     size : Size
-        The prompt.
+        Size of the request.
     candidates : sequence of Candidate
-        The replicas, as nodes know them.
+        The replicas with their load as the nodes know it.
     target_s : float
-        When its first event is wanted.
+        Target time to the first event.
     patience_s : float
-        How long its caller waits for that.
+        How long the caller waits for the first event before it leaves.
     starts_per_s : float
-        Requests that nodes placed lately.
+        Recent rate of requests placed by all nodes.
     shortest_target_s : float
-        The shortest time in which a kind of prompt wants its first event.
-    told_s : float
-        How late nodes know of one another's work.
+        Shortest target time to the first event of all kinds of prompts.
+    gossip_delay_s : float
+        Delay with which nodes learn of one another's placements.
     nodes : int
-        How many nodes place.
-    luck : random.Random
-        For what is left to chance.
+        Number of nodes that place requests.
+    rng : random.Random
+        Source of random choices.
     """
 
     engine: Engine
@@ -55,16 +55,16 @@
     patience_s: float
     starts_per_s: float
     shortest_target_s: float
-    told_s: float
+    gossip_delay_s: float
     nodes: int
-    luck: random.Random
+    rng: random.Random
 
 
-Policy = Callable[[Asked], Placement | None]
+PlacementPolicy = Callable[[PlacementQuery], Placement | None]
 
 
-def place_as_product(asked):
-    """Place, or refuse, as the product does."""
+def place_lycheetide(asked):
+    """Place or refuse a request as this project's relay does."""
     placement = choose_prompt(
         asked.engine,
         asked.size,
@@ -72,8 +72,8 @@
         target_s=asked.target_s,
         patience_s=asked.patience_s,
         arrivals=Arrivals(asked.starts_per_s, asked.shortest_target_s),
-        unknown=count_unknown(asked.starts_per_s, asked.told_s, asked.nodes),
-        draw=asked.luck.random(),
+        unknown=count_unknown(asked.starts_per_s, asked.gossip_delay_s, asked.nodes),
+        draw=asked.rng.random(),
     )
     if placement is None or not placement.is_worthwhile(asked.patience_s):
         return None
@@ -81,28 +81,46 @@
 
 
 def place_least_work(asked):
-    """Place where the least reading and the fewest requests wait; the baseline."""
-    first = min(asked.candidates, key=lambda one: one.backlog_s + 0.01 * one.writers)
+    """Place on the replica with the least prefill backlog and fewest requests.
+
+    A baseline.
+    """
+    first = min(
+        asked.candidates,
+        key=lambda candidate: candidate.backlog_s + 0.01 * candidate.writers,
+    )
     return Placement(first, (), 0.0, read_s(asked.engine, asked.size.prompt_tokens))
 
 
 def place_with_helpers(asked):
-    """Place as the plain relay does: the better of two, and helpers by length alone."""
-    luck = asked.luck
-    first = min(luck.sample(asked.candidates, 2), key=lambda one: one.writers)
+    """Place on the better of two random replicas, with helpers by prompt length alone.
+
+    This is the baseline "relay with helpers".
+    """
+    rng = asked.rng
+    first = min(
+        rng.sample(asked.candidates, 2), key=lambda candidate: candidate.writers
+    )
     others = sorted(
-        (one for one in asked.candidates if one.id != first.id),
-        key=lambda one: (one.writers + one.helping, luck.random()),
+        (candidate for candidate in asked.candidates if candidate.id != first.id),
+        key=lambda candidate: (candidate.writers + candidate.helping, rng.random()),
     )
     tokens = asked.size.prompt_tokens
-    count = next((n for most, n in HELPED_TOKENS if tokens > most), 0)
+    count = next(
+        (
+            helper_count
+            for limit, helper_count in HELPERS_BY_PROMPT_TOKENS
+            if tokens > limit
+        ),
+        0,
+    )
     helpers = tuple(others[:count])
     part_s = read_s(asked.engine, tokens) / (1 + len(helpers))
     return Placement(first, helpers, 0.0, part_s)
 
 
 RELAY_POLICIES = {
-    "product": place_as_product,
+    "product": place_lycheetide,
     "least work": place_least_work,
     "relay with helpers": place_with_helpers,
 }
