--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: run them with ``make bench``."""
+"""Benchmarks; ``make bench`` runs them all."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Work out docs/CAPACITY.md's table from the measured slopes.
+"""Compute the table in docs/CAPACITY.md from the measured slopes.
 
-``python -m benchmarks.capacity`` prints it; ``--write`` puts it into the page. A test
-holds the page and this script together.
+``python -m benchmarks.capacity`` prints the table; ``--write`` puts it into the page. A
+test checks that the page holds the table that this script computes.
 """
 
 import argparse
@@ -10,15 +10,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-CONTROL = ROOT / "benchmarks" / "results" / "control.json"
-PAGE = ROOT / "docs" / "CAPACITY.md"
-BEGIN = "<!-- table: made by benchmarks/capacity.py -->"
-END = "<!-- end of table -->"
+CONTROL_RESULTS = ROOT / "benchmarks" / "results" / "control.json"
+CAPACITY_PAGE = ROOT / "docs" / "CAPACITY.md"
+TABLE_BEGIN = "<!-- table: made by benchmarks/capacity.py -->"
+TABLE_END = "<!-- end of table -->"
 
 
 @dataclass(frozen=True)
-class Size:
-    """The size to design for, and the settings that a node would get there."""
+class DeploymentSize:
+    """The deployment size to design for, and the settings of its nodes."""
 
     nodes: int = 950
     regions: int = 10
@@ -46,8 +46,8 @@
 
 
 @dataclass(frozen=True)
-class Line:
-    """One line of the table: what a node spends on one thing each second."""
+class TableRow:
+    """A row of the table: what a node spends on one activity per second."""
 
     role: str
     what: str
@@ -57,89 +57,92 @@
     is_control: bool = True
 
 
-def list_lines(measured, size):
-    """Yield the table's lines.
+def list_rows(measured, size):
+    """Yield the rows of the table.
 
     Parameters
     ----------
     measured : dict
-        What ``benchmarks.control`` wrote.
-    size : Size
-        The size.
+        Results of ``benchmarks.control``.
+    size : DeploymentSize
+        The deployment.
 
     Yields
     ------
-    Line
-        For one node and second.
+    TableRow
+        Cost for one node per second.
     """
     calls = measured["processes"]["calls"]
     members = size.nodes / size.regions
     replicas = size.replicas / size.nodes
 
-    def at(name, value):
+    def evaluate_fit(name, value):
         return measured[name]["slope"] * value + measured[name]["start"]
 
     reports = replicas / size.report_interval_s
-    yield Line(
+    yield TableRow(
         "owner", "load reports", reports, reports * calls["report_us"] / 1e3,
         reports * size.report_bytes,
     )  # fmt: skip
-    looks = replicas / size.reclaim_interval_s
-    yield Line(
-        "owner", "holdings compared", looks, looks * calls["holdings_us"] / 1e3,
-        looks * size.holdings_bytes,
+    comparisons = replicas / size.reclaim_interval_s
+    yield TableRow(
+        "owner", "holdings compared", comparisons,
+        comparisons * calls["holdings_us"] / 1e3, comparisons * size.holdings_bytes,
     )  # fmt: skip
-    beats = size.heartbeat_fanout / size.heartbeat_interval_s
-    beat_us = (
-        at("heartbeat_answer_fit", members)
-        + at("heartbeat_read_fit", members)
+    heartbeats = size.heartbeat_fanout / size.heartbeat_interval_s
+    heartbeat_us = (
+        evaluate_fit("heartbeat_answer_fit", members)
+        + evaluate_fit("heartbeat_read_fit", members)
         + 2 * calls["peer_call_us"]
     )
-    yield Line(
-        "member", f"heartbeats, asked and answered, {members:.0f} rows", 2 * beats,
-        beats * beat_us / 1e3, 2 * beats * at("heartbeat_bytes_fit", members),
+    yield TableRow(
+        "member", f"heartbeats, asked and answered, {members:.0f} rows", 2 * heartbeats,
+        heartbeats * heartbeat_us / 1e3,
+        2 * heartbeats * evaluate_fit("heartbeat_bytes_fit", members),
     )  # fmt: skip
-    reads = size.log_streams_followed / size.log_wait_s + size.changes_per_s
-    yield Line(
-        "member", "reads of the log", reads, reads * calls["log_read_us"] / 1e3,
-        reads * size.log_read_bytes,
+    log_reads = size.log_streams_followed / size.log_wait_s + size.changes_per_s
+    yield TableRow(
+        "member", "reads of the log", log_reads, log_reads * calls["log_read_us"] / 1e3,
+        log_reads * size.log_read_bytes,
     )  # fmt: skip
-    fold_us = at("fold_fit", size.replicas) + at("index_fit", size.replicas)
-    yield Line(
+    fold_us = evaluate_fit("fold_fit", size.replicas) + evaluate_fit(
+        "index_fit", size.replicas
+    )
+    yield TableRow(
         "member", f"changes folded into {size.replicas} replicas", size.changes_per_s,
         size.changes_per_s * fold_us / 1e3, 0.0,
     )  # fmt: skip
     requests = size.requests_per_s / size.nodes
     cells = size.replicas / size.regions / size.models / size.replicas_per_cell
     decision_us = (
-        at("decision_fit", size.replicas_per_cell)
-        + at("routing_fit", cells)
+        evaluate_fit("decision_fit", size.replicas_per_cell)
+        + evaluate_fit("routing_fit", cells)
         + 4 * calls["peer_call_us"]
     )
-    yield Line(
+    yield TableRow(
         "owner and entry", "permits: asked, decided, ended", requests,
         requests * decision_us / 1e3, requests * 900, False,
     )  # fmt: skip
     bookings = requests * size.bookings_share
-    yield Line(
+    yield TableRow(
         "entry", "bookings: append and read", bookings,
         bookings * (calls["log_append_us"] + calls["log_read_us"]) / 1e3,
         bookings * 2_000, False,
     )  # fmt: skip
     node = measured["processes"]["3 nodes"]
-    yield Line(
+    yield TableRow(
         "entry", "requests", requests, requests * node["request_us"] / 1e3, 0.0, False
     )
     tokens = size.tokens_per_s / size.nodes
-    yield Line(
+    yield TableRow(
         "entry", "tokens streamed", tokens, tokens * node["token_us"] / 1e3, 0.0, False
     )
 
 
 def make_table(measured, size=None):
     """Return the table as Markdown."""
-    size = size or Size()
-    lines = list(list_lines(measured, size))
+    size = size or DeploymentSize()
+    lines = list(list_rows(measured, size))
     control = [line for line in lines if line.is_control]
     cpu_ms = sum(line.cpu_ms for line in control)
     serving_ms = sum(line.cpu_ms for line in lines if not line.is_control)
@@ -170,10 +173,10 @@
 
 
 def replace_table(page, table):
-    """Return the page with its table replaced."""
-    head, _, rest = page.partition(BEGIN)
-    _, _, tail = rest.partition(END)
-    return f"{head}{BEGIN}\n\n{table}\n\n{END}{tail}"
+    """Return the page with the table replaced."""
+    head, _, after_begin = page.partition(TABLE_BEGIN)
+    _, _, tail = after_begin.partition(TABLE_END)
+    return f"{head}{TABLE_BEGIN}\n\n{table}\n\n{TABLE_END}{tail}"
 
 
 def main():
@@ -181,9 +184,9 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--write", action="store_true")
     args = parser.parse_args()
-    table = make_table(json.loads(CONTROL.read_text()))
+    table = make_table(json.loads(CONTROL_RESULTS.read_text()))
     if args.write:
-        PAGE.write_text(replace_table(PAGE.read_text(), table))
+        CAPACITY_PAGE.write_text(replace_table(CAPACITY_PAGE.read_text(), table))
     else:
         print(table)
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,8 @@
-"""Measure what control costs at several sizes, as slopes; write them to a file.
+"""Measure the cost of the control plane at several sizes, and fit straight lines.
 
-CPU time of this process, or of a node process as the kernel accounts it; never wall
-time. Each figure is the median of several rounds.
+Costs are the CPU time of this process, or of a node process as the kernel accounts for
+it, and never wall time. Each figure is the median of several rounds. The results are
+written to ``results/control.json``.
 """
 
 import json
@@ -15,7 +16,7 @@
 import anyio
 import numpy as np
 
-from benchmarks.policy import find_commit
+from benchmarks.policy import describe_commit
 from lycheetide.bookings import Claim, decide, make_claim_record
 from lycheetide.fleet import (
     ConfigState,
@@ -49,28 +50,28 @@
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def measure_us(function, repeats):
-    """Return the CPU time of one call in microseconds, the median of the rounds."""
+def measure_cpu_us(function, repeats):
+    """Return the CPU time of one call in microseconds, as the median of the rounds."""
     rounds = []
     for _ in range(ROUNDS):
-        begun_s = time.process_time()
+        start_s = time.process_time()
         for _ in range(repeats):
             function()
-        rounds.append((time.process_time() - begun_s) / repeats * 1e6)
+        rounds.append((time.process_time() - start_s) / repeats * 1e6)
     return statistics.median(rounds)
 
 
 def fit(sizes, costs):
-    """Fit a straight line; return its slope, its start and the share explained."""
+    """Fit a straight line; return its slope, intercept and explained variance."""
     slope, start = np.polyfit(sizes, costs, 1)
-    rest = np.array(costs) - (slope * np.array(sizes) + start)
-    spread = float(np.var(costs))
-    explained = 1.0 - float(np.var(rest)) / spread if spread else 1.0
+    residuals = np.array(costs) - (slope * np.array(sizes) + start)
+    variance = float(np.var(costs))
+    explained = 1.0 - float(np.var(residuals)) / variance if variance else 1.0
     return {"slope": float(slope), "start": float(start), "explained": explained}
 
 
 def make_upstreams(count, replicas_per_cell=8, models=25):
-    """Return replicas of 25 models in cells."""
+    """Return replicas of ``models`` models, 25 by default, grouped into cells."""
     return [
         Upstream(
             f"u{i:05d}", "engine", f"m{i % models}", "d-0", f"http://10.0.{i % 250}.1",
@@ -81,7 +82,7 @@
 
 
 def make_ticket(number, now_s):
-    """Return a short request."""
+    """Return the ticket of a short request."""
     return Ticket(
         f"t{number}", "n", f"r{number}", f"k{number % 240}", "quote", 0, 20.0, 1.0,
         3_000, 200, f"k/{number % 50}", now_s, now_s, now_s + 60.0,
@@ -89,7 +90,10 @@
 
 
 def measure_decision(replicas):
-    """One request through a cell: ask, schedule, finish; eight others run there."""
+    """Return the cost of one request at a cell: ask, schedule and finish.
+
+    One request fewer than the cell has replicas runs there meanwhile.
+    """
     cell = Cell("c", owner_id="n")
     cell.is_settled = True
     upstreams = make_upstreams(replicas, replicas_per_cell=replicas, models=1)
@@ -115,17 +119,17 @@
 
     for _ in range(8):
         report_all()
-    measure_us(decide_one, 100)
-    return measure_us(decide_one, 300)
+    measure_cpu_us(decide_one, 100)
+    return measure_cpu_us(decide_one, 300)
 
 
 def measure_routing(cells):
-    """The choice of a cell at an entry node."""
+    """Return the cost of ranking the cells of a model at an entry node."""
     names = [f"c{i}" for i in range(cells)]
     summaries = {
         name: CellSummary(name, 1_000, 5_000, 6_000, 400_000.0, 20) for name in names
     }
-    return measure_us(
+    return measure_cpu_us(
         lambda: rank_cells(
             names, summaries, prefix_key="k/7", prompt_tokens=3_000, draw=lambda: 0.5
         ),
@@ -133,15 +137,15 @@
     )
 
 
-def make_rows(members, cells_each):
-    """Return what a node tells of so many members."""
+def make_rows(members, cells_per_member):
+    """Return the rows that a node sends about so many members."""
     return tuple(
         Row(
             Member(f"entry-{i:03d}", f"{i:016x}", f"10.0.0.{i % 250}:9001", "cork-a"),
             i, "serving", 17, 17, 40_000,
             tuple(
                 CellSummary(f"m{i % 25}.r-0.{j}", 12_000, 40_000, 9_000, 400_000.0, 90)
-                for j in range(cells_each)
+                for j in range(cells_per_member)
             ),
         )
         for i in range(members)
@@ -149,7 +153,10 @@
 
 
 def measure_heartbeat(members):
-    """Both ends of one heartbeat: make, encode, decode and merge the rows."""
+    """Return the cost of both ends of a heartbeat.
+
+    One end makes and encodes the rows, the other decodes and merges them.
+    """
     rows = make_rows(members, 2)
     own = Member("own", "x", "10.0.0.1:1", "cork-a")
     membership = Membership(own, lease_s=2.0, suspect_s=2.0)
@@ -163,23 +170,26 @@
     repeats = max(3, 2_000 // members)
 
     def answer():
-        told = membership.make_rows(
+        own_rows = membership.make_rows(
             state="serving", config_version=1, cells=(), now_s=0.5
         )
-        encode(PullReply(tuple(told)))
+        encode(PullReply(tuple(own_rows)))
 
     def read():
         membership.take_rows(decode(content).rows, asked_s=0.5, now_s=0.5)
 
     return {
-        "answer_us": measure_us(answer, repeats),
-        "read_us": measure_us(read, repeats),
+        "answer_us": measure_cpu_us(answer, repeats),
+        "read_us": measure_cpu_us(read, repeats),
         "reply_bytes": len(content),
     }
 
 
 def measure_fold(replicas):
-    """One change of one entry, folded into a configuration of so many replicas."""
+    """Return the cost of folding a change into a configuration with many replicas.
+
+    The change has one entry; ``replicas`` is the size of the configuration.
+    """
     upstreams = make_upstreams(replicas)
     changes = [("failure_domains", "d-0", DOMAIN)]
     changes += [("models", f"m{i}", Model(f"m{i}")) for i in range(25)]
@@ -199,36 +209,41 @@
     assert held.version == 1
     return {
         "held_bytes": held_bytes,
-        "index_us": measure_us(lambda: make_index(state.fleet, "r-0"), repeats),
-        "fold_us": measure_us(lambda: fold(state, 1, change), repeats),
+        "index_us": measure_cpu_us(lambda: make_index(state.fleet, "r-0"), repeats),
+        "fold_us": measure_cpu_us(lambda: fold(state, 1, change), repeats),
         "record_bytes": len(encode(change)),
     }
 
 
 def measure_claims(records):
-    """The decision on one booking among so many records since its key's birth."""
+    """Return the cost of deciding a booking.
+
+    ``records`` is the number of log records since the booking's key was created.
+    """
     claim = Claim("c", "key", "n", "h")
     rows = [
         (i, make_claim_record(Claim(f"c{i}", f"other{i}", "n", "h")))
         for i in range(records)
     ] + [(records, make_claim_record(claim))]
-    return measure_us(lambda: decide(rows, claim, birth_offset=0, first_retained=0), 50)
+    return measure_cpu_us(
+        lambda: decide(rows, claim, birth_offset=0, first_retained=0), 50
+    )
 
 
 async def measure_calls(fleet):
-    """CPU at the caller of the small HTTP calls, against stand-ins."""
+    """Return the CPU time of small calls at the caller, against stand-ins."""
     engine = next(iter(fleet.engines.values()))
     upstream = Upstream("e", "engine", "m", "d", engine.url, "c")
     http = make_http_client(connect_s=1.0)
     log = LogClient(http, fleet.platform.url)
 
-    async def cost_us(call, repeats=150):
+    async def measure_call_us(call, repeats=150):
         rounds = []
         for _ in range(ROUNDS):
-            begun_s = time.process_time()
+            start_s = time.process_time()
             for _ in range(repeats):
                 await call()
-            rounds.append((time.process_time() - begun_s) / repeats * 1e6)
+            rounds.append((time.process_time() - start_s) / repeats * 1e6)
         return statistics.median(rounds)
 
     async def report():
@@ -251,23 +266,23 @@
         await log.append("trial", [{"kind": "claim", "id": "x" * 16}])
 
     return {
-        "peer_call_us": await cost_us(call_peer),
-        "report_us": await cost_us(report),
-        "holdings_us": await cost_us(holdings),
-        "log_read_us": await cost_us(read_log),
-        "log_append_us": await cost_us(append_log),
+        "peer_call_us": await measure_call_us(call_peer),
+        "report_us": await measure_call_us(report),
+        "holdings_us": await measure_call_us(holdings),
+        "log_read_us": await measure_call_us(read_log),
+        "log_append_us": await measure_call_us(append_log),
     }
 
 
 def read_cpu_s(process):
-    """Return the CPU time that a process has used, as the kernel accounts it."""
+    """Return the CPU time that a process has used, as the kernel accounts for it."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rsplit(")", 1)[1]
     user, system = fields.split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_S
 
 
 def read_memory_mb(process):
-    """Return a process's resident memory."""
+    """Return the resident memory of a process."""
     for line in Path(f"/proc/{process.popen.pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -275,26 +290,26 @@
 
 
 def measure_node(fleet):
-    """CPU of a node process: idle, for a request, and for a streamed token."""
+    """Return the CPU time of a node: idle, per request and per streamed token."""
     name, node = next(iter(fleet.nodes.items()))
     calls = fleet.status(name)["peer_calls"]
-    begun_s = read_cpu_s(node)
+    start_s = read_cpu_s(node)
     time.sleep(10.0)
-    idle = (read_cpu_s(node) - begun_s) / 10.0
+    idle_share = (read_cpu_s(node) - start_s) / 10.0
     calls_after = fleet.status(name)["peer_calls"]
     costs = {}
     for tokens in (1, 400):
-        begun_s = read_cpu_s(node)
-        begun_wall_s = time.monotonic()
+        start_s = read_cpu_s(node)
+        start_wall_s = time.monotonic()
         for seed in range(60):
             answer = ask_prompt(node, 1_000, max_tokens=tokens, seed=seed)
             assert answer.whole
-        wall_s = time.monotonic() - begun_wall_s
-        costs[tokens] = (read_cpu_s(node) - begun_s - idle * wall_s) / 60
+        wall_s = time.monotonic() - start_wall_s
+        costs[tokens] = (read_cpu_s(node) - start_s - idle_share * wall_s) / 60
     per_token = (costs[400] - costs[1]) / 399
     return {
         "nodes": len(fleet.nodes),
-        "idle_core_share": idle,
+        "idle_core_share": idle_share,
         "idle_peer_calls_per_s": (sum(calls_after.values()) - sum(calls.values())) / 10,
         "request_us": (costs[1] - per_token) * 1e6,
         "token_us": per_token * 1e6,
@@ -303,34 +318,34 @@
 
 
 def measure_added_time(fleet):
-    """The time that a node adds to a short request, beside a direct call."""
+    """Return the time of a short request sent directly and through a node."""
     node = next(iter(fleet.nodes.values()))
     engine = next(iter(fleet.engines.values()))
-    direct, through = [], []
+    direct, through_node = [], []
     for seed in range(60):
-        begun_s = time.monotonic()
+        start_s = time.monotonic()
         asked = {
             "model": "assistant", "max_tokens": 1, "stream": True,
             "prompt": f"{seed:04d}" + "abcd" * 999,
         }  # fmt: skip
         url = f"{node.url}/v1/completions"
         fleet.http.post(url, json=asked, headers=make_headers()).raise_for_status()
-        through.append(time.monotonic() - begun_s)
-        begun_s = time.monotonic()
+        through_node.append(time.monotonic() - start_s)
+        start_s = time.monotonic()
         body = {
             "request_id": f"d{seed}", "attempt_id": f"a{seed}", "max_tokens": 1,
             "prompt": "abcd" * 1_000, "stream": True,
         }  # fmt: skip
         fleet.http.post(f"{engine.url}/v1/completions", json=body)
-        direct.append(time.monotonic() - begun_s)
+        direct.append(time.monotonic() - start_s)
     return {
         "direct_ms": statistics.median(direct) * 1e3,
-        "through_node_ms": statistics.median(through) * 1e3,
+        "through_node_ms": statistics.median(through_node) * 1e3,
     }
 
 
 def measure_processes():
-    """Measure real nodes before stand-ins."""
+    """Measure real node processes in front of stand-in back ends."""
     measured = {}
     for nodes in (3, 9):
         with LocalFleet() as fleet:
@@ -347,28 +362,30 @@
 
 
 def main():
-    """Measure everything and write it down."""
+    """Measure everything and write the results."""
     replicas = (100, 1_000, 12_000)
     members = (9, 50, 95, 200, 950)
-    beats = {size: measure_heartbeat(size) for size in members}
+    heartbeats = {size: measure_heartbeat(size) for size in members}
     folds = {size: measure_fold(size) for size in replicas}
-    in_cell = {size: measure_decision(size) for size in (4, 8, 16, 24)}
+    decisions = {size: measure_decision(size) for size in (4, 8, 16, 24)}
     cells = {size: measure_routing(size) for size in (3, 6, 25, 60)}
     claims = {size: measure_claims(size) for size in (10, 100, 1_000)}
     document = {
-        "commit": find_commit(),
+        "commit": describe_commit(),
         "machine": f"{platform.machine()}, CPython {platform.python_version()}",
-        "decision_us_by_replicas_in_cell": in_cell,
-        "decision_fit": fit(list(in_cell), list(in_cell.values())),
+        "decision_us_by_replicas_in_cell": decisions,
+        "decision_fit": fit(list(decisions), list(decisions.values())),
         "routing_us_by_cells_of_model": cells,
         "routing_fit": fit(list(cells), list(cells.values())),
-        "heartbeat_by_members": beats,
+        "heartbeat_by_members": heartbeats,
         "heartbeat_answer_fit": fit(
-            list(beats), [b["answer_us"] for b in beats.values()]
+            list(heartbeats), [b["answer_us"] for b in heartbeats.values()]
+        ),
+        "heartbeat_read_fit": fit(
+            list(heartbeats), [b["read_us"] for b in heartbeats.values()]
         ),
-        "heartbeat_read_fit": fit(list(beats), [b["read_us"] for b in beats.values()]),
         "heartbeat_bytes_fit": fit(
-            list(beats), [b["reply_bytes"] for b in beats.values()]
+            list(heartbeats), [b["reply_bytes"] for b in heartbeats.values()]
         ),
         "fold_by_replicas": folds,
         "held_bytes_fit": fit(list(folds), [f["held_bytes"] for f in folds.values()]),
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Placement of prompts of unlike lengths, against baselines, in virtual time.
+"""Simulate placement of prompts of different lengths and compare it with baselines.
 
-``python -m benchmarks.placement`` plays the load of a small and of a large fleet, with
-all replicas and with a part of them, and prints what part of the requests' worth each
-policy earns; ``--write`` keeps the figures in ``results/placement.json``.
+``python -m benchmarks.placement`` simulates the load of a small and of a large fleet,
+with all replicas and with some of them, and prints the share of the requests' worth
+that each policy earns. ``--write`` saves the figures to ``results/placement.json``.
 """
 
 import argparse
@@ -41,8 +41,9 @@
     ),
     gossip_delay_s=0.045,
 )
-"""Rates, lengths and targets of the users' two fleets. 0.045 s was how late nodes of a
-large fleet knew of one another's work with bundles of 40 ms, the worst that was tried.
+"""Rates, lengths and targets of the users' two fleets. Nodes of a large fleet learned
+of one another's placements with a delay of 0.045 s when messages were bundled for
+40 ms, the worst case that was tried.
 """
 CASES = {
     "small": SMALL,
@@ -54,7 +55,7 @@
 
 
 def measure(model, policy):
-    """Return a policy's mean worth over the seeds, and each kind's share in time."""
+    """Return a policy's mean worth over the seeds, and the goodput of each kind."""
     runs = [
         simulate_relays(model, policy, seconds=SECONDS, random_state=seed)
         for seed in SEEDS
@@ -66,7 +67,7 @@
 
 
 def main():
-    """Measure and print."""
+    """Simulate all cases and print the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--write", action="store_true")
     args = parser.parse_args()
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,6 +1,6 @@
-"""Measure the policy against baselines; write results, a table and plots.
+"""Simulate the scheduling policy and baselines; write results and plots.
 
-Virtual time only: the same seed gives the same figures on every machine.
+Time is virtual, so the same seed gives the same figures on every machine.
 """
 
 import argparse
@@ -19,19 +19,19 @@
 RESULTS = ROOT / "benchmarks" / "results" / "policy.json"
 PLOTS = ROOT / "docs" / "plots"
 ANSWER_TOKENS = 48
-LENGTHS = ((1_000, 3_000), (3_000, 10_000), (10_000, 100_000), (100_000, 400_000),
-           (400_000, 1_000_001))  # fmt: skip
+LENGTH_RANGES = ((1_000, 3_000), (3_000, 10_000), (10_000, 100_000), (100_000, 400_000),
+                 (400_000, 1_000_001))  # fmt: skip
 BUCKETS = 40
 
 
 def make_plan(load, *, seed, count, settings):
-    """Return a load that fills a share of the fleet's reading rate."""
-    sizes = list(
+    """Return a load that takes a given share of the fleet's prefill rate."""
+    drawn_requests = list(
         plan_requests(
             count, rate_per_s=1.0, random_state=seed, answer_tokens=ANSWER_TOKENS
         )
     )
-    mean = sum(request.prompt_tokens for request in sizes) / count
+    mean = sum(request.prompt_tokens for request in drawn_requests) / count
     rate = load * settings.replicas * settings.tokens_per_s / mean
     return list(
         plan_requests(
@@ -41,7 +41,7 @@
 
 
 def find_quantile(values, share):
-    """Return the value below which a share of all lies."""
+    """Return the quantile of values at a share; None if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return None
@@ -49,20 +49,20 @@
 
 
 def is_short(result):
-    """Tell whether a result is of a short prompt."""
+    """Return whether a result belongs to a short prompt."""
     return result.planned.request_class == "quote"
 
 
-def describe(results, span_s):
+def summarize_run(results, span_s):
     """Return the figures of one run."""
-    shorts = [
+    short_first_token_s = [
         r.first_token_s for r in results if is_short(r) and r.first_token_s is not None
     ]
     answered = [r for r in results if r.outcome == "answered"]
     return {
-        "short_p50_s": find_quantile(shorts, 0.50),
-        "short_p95_s": find_quantile(shorts, 0.95),
-        "short_p99_s": find_quantile(shorts, 0.99),
+        "short_p50_s": find_quantile(short_first_token_s, 0.50),
+        "short_p95_s": find_quantile(short_first_token_s, 0.95),
+        "short_p99_s": find_quantile(short_first_token_s, 0.99),
         "outcomes": {
             f"{'short' if short else 'huge'} {outcome}": count
             for (short, outcome), count in sorted(
@@ -83,27 +83,29 @@
                 ],
                 0.95,
             )
-            for low, high in LENGTHS
+            for low, high in LENGTH_RANGES
         },
     }
 
 
-def measure_sharing(*, seed, count, settings):
-    """Run every policy at 80% load, and this project's with short prompts alone."""
+def measure_mixed_load(*, seed, count, settings):
+    """Simulate all policies at 80% load, and this project's with short prompts only."""
     plan = make_plan(0.8, seed=seed, count=count, settings=settings)
     span_s = plan[-1].at_s
-    alone = [request for request in plan if request.request_class == "quote"]
+    short_only = [request for request in plan if request.request_class == "quote"]
     rows = {
-        name: describe(simulate_engines(make, plan, settings=settings), span_s)
-        for name, make in POLICIES.items()
+        name: summarize_run(
+            simulate_engines(make_policy, plan, settings=settings), span_s
+        )
+        for name, make_policy in POLICIES.items()
     }
-    results = simulate_engines(POLICIES["lycheetide"], alone, settings=settings)
-    rows["short prompts alone"] = describe(results, span_s)
+    results = simulate_engines(POLICIES["lycheetide"], short_only, settings=settings)
+    rows["short prompts alone"] = summarize_run(results, span_s)
     return rows
 
 
 def measure_domain(*, seed, count, settings):
-    """Take one domain of three out at 60% load and bring it back in steps."""
+    """Take one of three domains out at 60% load and return it in steps."""
     plan = make_plan(0.6, seed=seed, count=count, settings=settings)
     span_s = plan[-1].at_s
     changes = (
@@ -111,7 +113,7 @@
         (0.6 * span_s, "d-b", "returning"),
         (0.8 * span_s, "d-b", "in"),
     )
-    changed = SimulationSettings(
+    domain_settings = SimulationSettings(
         replicas=settings.replicas,
         tokens_per_s=settings.tokens_per_s,
         kv_capacity_tokens=settings.kv_capacity_tokens,
@@ -120,45 +122,45 @@
     rows = {}
     series = {}
     for name in ("lycheetide", "least outstanding", "least outstanding, priorities"):
-        results = simulate_engines(POLICIES[name], plan, settings=changed)
-        rows[name] = describe(results, span_s)
-        series[name] = make_series(results, span_s)
+        results = simulate_engines(POLICIES[name], plan, settings=domain_settings)
+        rows[name] = summarize_run(results, span_s)
+        series[name] = make_time_series(results, span_s)
     return rows, series, [change[0] / span_s for change in changes[:2]]
 
 
-def make_series(results, span_s):
-    """Return the share of quick quotes whose first token came within 1 s, by time."""
+def make_time_series(results, span_s):
+    """Return the share of short prompts with a first token within 1 s, over time."""
     series = []
     for bucket in range(BUCKETS):
         low, high = bucket * span_s / BUCKETS, (bucket + 1) * span_s / BUCKETS
-        inside = [r for r in results if is_short(r) and low <= r.planned.at_s < high]
+        in_bucket = [r for r in results if is_short(r) and low <= r.planned.at_s < high]
         good = sum(
-            r.first_token_s is not None and r.first_token_s <= 1.0 for r in inside
+            r.first_token_s is not None and r.first_token_s <= 1.0 for r in in_bucket
         )
-        series.append(good / len(inside) if inside else None)
+        series.append(good / len(in_bucket) if in_bucket else None)
     return series
 
 
 def measure_overload(*, seed, count, settings):
-    """Run at 70 to 150% load and compare what is answered in time."""
+    """Simulate 70 to 150% load and compare what is answered in time."""
     rows = {}
     for name in ("lycheetide", "least outstanding, priorities"):
         for percent in (70, 90, 110, 130, 150):
             plan = make_plan(percent / 100, seed=seed, count=count, settings=settings)
             results = simulate_engines(POLICIES[name], plan, settings=settings)
             end_s = max(r.planned.at_s + (r.total_s or 0.0) for r in results)
-            rows[f"{name} at {percent}%"] = describe(results, end_s)
+            rows[f"{name} at {percent}%"] = summarize_run(results, end_s)
     return rows
 
 
 def plot_sharing(rows, path):
-    """Draw the time to first token by prompt length."""
+    """Plot the time to first token by prompt length."""
     figure = Figure(figsize=(7.5, 4.5), layout="constrained")
     axes = figure.subplots()
-    middles = [(low * high) ** 0.5 for low, high in LENGTHS]
+    range_centers = [(low * high) ** 0.5 for low, high in LENGTH_RANGES]
     for name, row in rows.items():
         values = list(row["first_p95_s_by_length"].values())
-        points = [(x, y) for x, y in zip(middles, values, strict=True) if y]
+        points = [(x, y) for x, y in zip(range_centers, values, strict=True) if y]
         width = 2.5 if name == "lycheetide" else 1.2
         axes.plot(*zip(*points, strict=True), marker="o", label=name, linewidth=width)
     axes.set_xscale("log")
@@ -171,16 +173,18 @@
     figure.savefig(path, dpi=120)
 
 
-def plot_domain(series, marks, path):
-    """Draw the service of quick quotes while a domain leaves and returns."""
+def plot_domain(series, change_positions, path):
+    """Plot how short prompts are served while a domain leaves and returns."""
     figure = Figure(figsize=(7.5, 4.0), layout="constrained")
     axes = figure.subplots()
     for name, values in series.items():
         shares = [value if value is not None else float("nan") for value in values]
         axes.plot([i / BUCKETS for i in range(BUCKETS)], shares, label=name)
-    for mark, text in zip(marks, ("domain out", "returning"), strict=True):
-        axes.axvline(mark, color="grey", linestyle=":")
-        axes.text(mark + 0.005, 0.02, text, fontsize=8)
+    for position, text in zip(
+        change_positions, ("domain out", "returning"), strict=True
+    ):
+        axes.axvline(position, color="grey", linestyle=":")
+        axes.text(position + 0.005, 0.02, text, fontsize=8)
     axes.set_ylim(0, 1.05)
     axes.set_xlabel("share of the run")
     axes.set_ylabel("quick quotes with first token within 1 s")
@@ -189,8 +193,8 @@
     figure.savefig(path, dpi=120)
 
 
-def find_commit():
-    """Return the commit that was measured."""
+def describe_commit():
+    """Return a description of the commit that is measured."""
     command = ["git", "describe", "--always", "--dirty"]
     return subprocess.run(
         command, cwd=ROOT, capture_output=True, text=True, check=False
@@ -198,7 +202,7 @@
 
 
 def print_rows(title, rows):
-    """Print one line a run."""
+    """Print one line per run."""
     print(f"\n{title}")
     print(f"{'':34}{'short p50':>10}{'p95':>8}{'p99':>8}{'tokens/s':>10}{'hits':>7}")
     for name, row in rows.items():
@@ -210,26 +214,26 @@
 
 
 def main():
-    """Run all and write what came out."""
+    """Simulate all cases and write the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=7)
     parser.add_argument("--count", type=int, default=6_000)
     args = parser.parse_args()
     settings = SimulationSettings()
-    fixed = {"seed": args.seed, "count": args.count, "settings": settings}
-    sharing = measure_sharing(**fixed)
-    domain, series, marks = measure_domain(**fixed)
-    overload = measure_overload(**fixed)
+    common = {"seed": args.seed, "count": args.count, "settings": settings}
+    sharing = measure_mixed_load(**common)
+    domain, series, change_positions = measure_domain(**common)
+    overload = measure_overload(**common)
     print_rows("80% load", sharing)
-    print_rows("60% load, a domain of three leaves and returns", domain)
+    print_rows("60% load, one of three domains leaves and returns", domain)
     print_rows("overload", overload)
     PLOTS.mkdir(parents=True, exist_ok=True)
     plot_sharing(sharing, PLOTS / "first-token-by-length.png")
-    plot_domain(series, marks, PLOTS / "domain-out-and-back.png")
+    plot_domain(series, change_positions, PLOTS / "domain-out-and-back.png")
     document = {
         "seed": args.seed,
         "requests": args.count,
-        "commit": find_commit(),
+        "commit": describe_commit(),
         "machine": f"{platform.machine()}, CPython {platform.python_version()}",
         "sharing": sharing,
         "domain": domain,
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,6 +1,7 @@
-"""What a relay's shared knowledge and its choices cost, by the size of the fleet.
+"""Measure what a relay's shared state and placement cost, by the size of the fleet.
 
-``python -m benchmarks.relay --write`` keeps the figures in ``results/relay.json``.
+``python -m benchmarks.relay`` prints the figures; ``--write`` saves them to
+``results/relay.json``.
 """
 
 import argparse
@@ -26,27 +27,28 @@
 
 RESULTS = Path(__file__).parent / "results" / "relay.json"
 ROUNDS = 2_000
-SIZES = (26, 85, 1_200)
-"""Replicas: the small site, the grown one, one region of the size to design for."""
+REPLICA_COUNTS = (26, 85, 1_200)
+"""Numbers of replicas: of the small site, of the grown one, and of one region of the
+size to design for."""
 
-FLEETS = (9, 60, 195)
-"""Nodes, each with as many replicas before them."""
+NODE_COUNTS = (9, 60, 195)
+"""Numbers of nodes, each measured with as many replicas."""
 
 
-def time_us(run, rounds=ROUNDS):
-    """Return the processor time of one call, in microseconds."""
-    begun_s = time.process_time()
+def measure_cpu_us(run, rounds=ROUNDS):
+    """Return the CPU time of one call in microseconds."""
+    start_s = time.process_time()
     for number in range(rounds):
         run(number)
-    return round((time.process_time() - begun_s) / rounds * 1e6, 1)
+    return round((time.process_time() - start_s) / rounds * 1e6, 1)
 
 
-def measure_datagrams():
-    """Return the cost and size of telling of one short request."""
+def measure_messages():
+    """Return the cost and the sizes of the messages about one short request."""
     board = Board()
     part = Part("i-3c568cd48e", 0.03, 6_000)
 
-    def tell(number):
+    def exchange_messages(number):
         job = f"{number:x}"
         started = Started("front-a-1.1ecc477f.f88", job, (part,), 10_000)
         message = decode_message(encode_message(started))
@@ -58,7 +60,7 @@
     hello = Hello("10.0.0.1:1", "front-a-1.1ecc477f.f88", "10.0.0.2:7", "a", 1, 2, 0.1,
                   heard=("i-3c568cd48e",) * 24)  # fmt: skip
     return {
-        "request_us": time_us(tell),
+        "request_us": measure_cpu_us(exchange_messages),
         "started_bytes": len(encode_message(started)),
         "ended_bytes": len(encode_message(Ended("front-a-1.1ecc477f.f88", "ff"))),
         "hello_bytes": len(encode_message(hello)),
@@ -66,7 +68,7 @@
 
 
 def make_candidates(count):
-    """Return replicas with some work each."""
+    """Return replicas with some load each."""
     return [
         Candidate(f"r{rank}", "10.0.0.1:1", rank, 8, writers=rank % 4, helping=rank % 3)
         for rank in range(count)
@@ -74,7 +76,7 @@
 
 
 def measure_choices(count):
-    """Return the cost of a choice among so many replicas."""
+    """Return the cost of choosing among so many replicas."""
     candidates = make_candidates(count)
 
     def short(_):
@@ -83,11 +85,17 @@
     def huge(_):
         choose_prompt(ANY_ENGINE, Size(133_000, 500), candidates, target_s=2.5)
 
-    return {"short_us": time_us(short, 300), "huge_us": time_us(huge, 300)}
+    return {
+        "short_us": measure_cpu_us(short, 300),
+        "huge_us": measure_cpu_us(huge, 300),
+    }
+
 
+def measure_full_choices(count):
+    """Return the cost of a placement at one of so many nodes.
 
-def measure_whole_choices(count):
-    """Return the cost of a choice at one of so many nodes, with all that it asks."""
+    It includes listing the candidates and all other state that the choice needs.
+    """
     relay = make_large_relay(count, count)
 
     def choose(call):
@@ -96,13 +104,13 @@
 
     short, huge = make_call(5_000), make_call(133_000, target_s=2.5, gap_s=1.0)
     return {
-        "short_us": time_us(lambda _: choose(short), 100),
-        "huge_us": time_us(lambda _: choose(huge), 100),
+        "short_us": measure_cpu_us(lambda _: choose(short), 100),
+        "huge_us": measure_cpu_us(lambda _: choose(huge), 100),
     }
 
 
 def measure_digest(count):
-    """Return the cost of a digest over so many replicas."""
+    """Return the cost of a digest of a table with so many replicas."""
     table = ReplicaTable()
     entries = [Entry(f"r{n}", "m", "10.0.0.1:1", "a", 8, False, 0.0, 1, 1)
                for n in range(count)]  # fmt: skip
@@ -112,18 +120,18 @@
         table.apply([Change(entry.id, number, entry)], now_s=0.0)
         table.digest()
 
-    return time_us(run, 300)
+    return measure_cpu_us(run, 300)
 
 
 def main():
-    """Measure and print."""
+    """Measure and print the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--write", action="store_true")
     args = parser.parse_args()
-    figures = measure_datagrams()
-    for count in FLEETS:
-        figures[f"whole_choice_{count}"] = measure_whole_choices(count)
-    for count in SIZES:
+    figures = measure_messages()
+    for count in NODE_COUNTS:
+        figures[f"whole_choice_{count}"] = measure_full_choices(count)
+    for count in REPLICA_COUNTS:
         figures[f"choice_{count}"] = measure_choices(count)
         figures[f"digest_{count}_us"] = measure_digest(count)
     print(json.dumps(figures, indent=2))
