--- a/examples/plot_huge_beside_short.py
+++ b/examples/plot_huge_beside_short.py
@@ -1,8 +1,9 @@
-"""How short prompts fare beside huge ones, under two policies.
+"""Time to first token of short and huge prompts under two scheduling policies.
 
-Runs a load of mixed lengths over modelled engines, once as nodes that each pick the
-replica with the fewest requests would, once as this project's owners do, and draws the
-time to first token. Takes some seconds: ``python examples/plot_huge_beside_short.py``.
+Simulates a load of mixed prompt lengths on a fleet of engines under two policies: each
+request goes to the replica with the fewest requests, or this project's scheduler
+decides. Plots the time to first token by prompt length for both. It takes some seconds:
+``python examples/plot_huge_beside_short.py``.
 """
 
 from matplotlib.figure import Figure
@@ -10,15 +11,15 @@
 from lycheetide.load import plan_requests
 from lycheetide.model import POLICIES, simulate_engines
 
-NAMES = ("least outstanding", "lycheetide")
+POLICY_NAMES = ("least outstanding", "lycheetide")
 PLAN = list(plan_requests(1_500, rate_per_s=60.0, random_state=3, answer_tokens=32))
 
 
 def main():
-    """Run both and save ``huge_beside_short.png``."""
+    """Simulate both policies and save ``huge_beside_short.png``."""
     figure = Figure(figsize=(8, 4), layout="constrained")
-    panels = figure.subplots(1, len(NAMES), sharey=True)
-    for axes, name in zip(panels, NAMES, strict=True):
+    panels = figure.subplots(1, len(POLICY_NAMES), sharey=True)
+    for axes, name in zip(panels, POLICY_NAMES, strict=True):
         results = [
             r
             for r in simulate_engines(POLICIES[name], PLAN)
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""How the one binary is built."""
+"""Build tools of the single-file executable."""
--- a/tools/bootstrap.py
+++ b/tools/bootstrap.py
@@ -1,9 +1,9 @@
-"""The binary's entry point: import extension modules straight from the archive.
+"""Entry point of the executable archive; imports extension modules from the archive.
 
-Python imports plain modules from an archive by itself, but the system's loader wants
-compiled ones as files. Hosts have no disks, and a loader that unpacks needs one; so
-each compiled module is copied into an anonymous file in memory, which only this
-process sees, and loaded from there. No second process is started.
+Python itself imports pure Python modules from an archive, but the system's dynamic
+loader needs extension modules as files. Hosts have no disks to unpack them to, so each
+extension module is copied into an anonymous file in memory, which only this process can
+see, and loaded from there. No second process is started.
 """
 
 import os
@@ -14,13 +14,13 @@
 from importlib.util import spec_from_file_location
 
 
-class MemoryFinder(MetaPathFinder):
-    """Finds compiled modules in an archive.
+class ExtensionFinder(MetaPathFinder):
+    """Finder for extension modules in an archive.
 
     Parameters
     ----------
     path : str
-        The archive.
+        Path of the archive.
     """
 
     def __init__(self, path):
@@ -28,7 +28,7 @@
         self.names = set(self.archive.namelist())
 
     def find_spec(self, fullname, path=None, target=None):
-        """Return a spec for a compiled module, or None."""
+        """Return the spec of an extension module; None if it isn't in the archive."""
         base = fullname.replace(".", "/")
         for suffix in EXTENSION_SUFFIXES:
             name = base + suffix
@@ -37,7 +37,7 @@
         return None
 
     def _make_spec(self, fullname, name):
-        """Copy one module into memory."""
+        """Copy a module into an anonymous file in memory and return its spec."""
         descriptor = os.memfd_create(name)
         with os.fdopen(descriptor, "wb", closefd=False) as file:
             file.write(self.archive.read(name))
@@ -47,9 +47,9 @@
 
 
 def main():
-    """Make compiled modules importable and run the command line."""
+    """Install the finder and run the command line."""
     sys.dont_write_bytecode = True
-    sys.meta_path.append(MemoryFinder(sys.path[0]))
+    sys.meta_path.append(ExtensionFinder(sys.path[0]))
     from lycheetide.cli import main as run  # noqa: PLC0415
 
     run()
