--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -138,7 +138,7 @@
 
 
 def make_rows(members, cells_per_member):
-    """Return the rows that a node sends about so many members."""
+    """Return the rows that a node sends about the members it knows."""
     return tuple(
         Row(
             Member(f"entry-{i:03d}", f"{i:016x}", f"10.0.0.{i % 250}:9001", "cork-a"),
@@ -186,9 +186,9 @@
 
 
 def measure_fold(replicas):
-    """Return the cost of folding a change into a configuration with many replicas.
+    """Return the cost of folding a change into a configuration of ``replicas``.
 
-    The change has one entry; ``replicas`` is the size of the configuration.
+    The change has one entry.
     """
     upstreams = make_upstreams(replicas)
     changes = [("failure_domains", "d-0", DOMAIN)]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -32,7 +32,7 @@
 size to design for."""
 
 NODE_COUNTS = (9, 60, 195)
-"""Numbers of nodes, each measured with as many replicas."""
+"""Numbers of nodes; each is measured with the same number of replicas."""
 
 
 def measure_cpu_us(run, rounds=ROUNDS):
@@ -76,7 +76,7 @@
 
 
 def measure_choices(count):
-    """Return the cost of choosing among so many replicas."""
+    """Return the cost of choosing among ``count`` replicas."""
     candidates = make_candidates(count)
 
     def short(_):
@@ -92,7 +92,7 @@
 
 
 def measure_full_choices(count):
-    """Return the cost of a placement at one of so many nodes.
+    """Return the cost of a placement at one of ``count`` nodes.
 
     It includes listing the candidates and all other state that the choice needs.
     """
@@ -110,7 +110,7 @@
 
 
 def measure_digest(count):
-    """Return the cost of a digest of a table with so many replicas."""
+    """Return the cost of a digest of a table with ``count`` replicas."""
     table = ReplicaTable()
     entries = [Entry(f"r{n}", "m", "10.0.0.1:1", "a", 8, False, 0.0, 1, 1)
                for n in range(count)]  # fmt: skip
--- a/lycheetide/model/_relay_policies.py
+++ b/lycheetide/model/_relay_policies.py
@@ -16,8 +16,8 @@
 from lycheetide.routes import Engine
 
 HELPERS_BY_PROMPT_TOKENS = ((60_000, 7), (20_000, 3))
-"""Pairs of a prompt length and a number of helper replicas, as the baseline "relay with
-helpers" uses them: longer prompts are prefilled with so many helpers."""
+"""Pairs of a prompt length and the number of helper replicas with which the baseline
+"relay with helpers" prefills longer prompts."""
 
 
 @dataclass(frozen=True)
