--- a/lycheetide/node/_answer.py
+++ b/lycheetide/node/_answer.py
@@ -1,53 +1,53 @@
-"""A prompt's answer on its way from the run to the caller."""
+"""The stream of a prompt's tokens between the task that serves it and its caller."""
 
 import anyio
 
 from lycheetide.metrics import get_log
-from lycheetide.node._leaving import CallerLeft
+from lycheetide.node._leaving import CallerDisconnected
 from lycheetide.node._prompts import Token, serve_prompt, to_request_error
 from lycheetide.outcomes import Failed, Reason, RequestError
 
-TOKENS_BUFFERED = 64
+TOKEN_BUFFER_SIZE = 64
 
 log = get_log("prompt")
 
 
-class Answer:
-    """A prompt's answer on its way from the run to the caller.
+class AnswerStream:
+    """An async iterator over the tokens of a prompt's answer.
 
-    The run is a task of the node's own, so that the caller's going away cancels it
-    and nothing else.
+    The prompt is served in a task of the node, so that a caller's disconnect cancels
+    that task and nothing else.
     """
 
     def __init__(self):
-        self._send, self._receive = anyio.create_memory_object_stream[Token](
-            TOKENS_BUFFERED
+        self._sender, self._receiver = anyio.create_memory_object_stream[Token](
+            TOKEN_BUFFER_SIZE
         )
         self._scope = anyio.CancelScope()
         self._error: RequestError | None = None
-        self._is_whole = False
+        self._is_complete = False
 
     async def run(self, node, admitted, prompt):
-        """Serve the prompt; errors are raised at the reader."""
+        """Serve the prompt; an error is raised where the answer is read."""
         with self._scope:
             try:
                 await serve_prompt(node, admitted, prompt, self._emit)
-                self._is_whole = True
-            except CallerLeft:
+                self._is_complete = True
+            except CallerDisconnected:
                 return
             except Exception as error:
                 if not isinstance(error, RequestError):
                     log.exception("A prompt failed inside the node.")
                 self._error = to_request_error(error)
             finally:
-                self._send.close()
+                self._sender.close()
 
     async def _emit(self, token):
-        """Pass a token on to the caller."""
+        """Pass a token on to the reader."""
         try:
-            await self._send.send(token)
+            await self._sender.send(token)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            raise CallerLeft from error
+            raise CallerDisconnected from error
 
     async def receive_first(self):
         """Return the first token, or None for an empty answer."""
@@ -60,32 +60,34 @@
             raise
 
     def __aiter__(self):
-        """Return this answer."""
+        """Return the stream itself."""
         return self
 
     async def __anext__(self):
         """Return the next token."""
         try:
-            return await self._receive.receive()
+            return await self._receiver.receive()
         except anyio.EndOfStream:
             if self._error is not None:
                 raise self._error from None
-            if not self._is_whole:
-                # A run that ended in any unforeseen way has left a short answer; it
-                # must never look like a whole one.
+            if not self._is_complete:
+                # The task ended in an unforeseen way, and the answer is truncated. It
+                # must never look like a complete one.
                 raise Failed(
-                    Reason.INTERNAL, "the answer was cut inside the node", status=500
+                    Reason.INTERNAL,
+                    "the answer was cut short inside the node",
+                    status=500,
                 ) from None
             raise StopAsyncIteration from None
 
     def cancel(self):
-        """Stop the run, if it still goes on."""
+        """Cancel the task that serves the prompt, if it still runs."""
         self._scope.cancel()
-        self._receive.close()
+        self._receiver.close()
 
 
 def start_answer(node, admitted, prompt):
-    """Begin to serve a prompt."""
-    answer = Answer()
+    """Start to serve a prompt; return its ``AnswerStream``."""
+    answer = AnswerStream()
     node.tasks.start_soon(answer.run, node, admitted, prompt)
     return answer
--- a/lycheetide/node/_door.py
+++ b/lycheetide/node/_door.py
@@ -1,4 +1,4 @@
-"""The callers' door: HTTP in, server-sent events out."""
+"""HTTP routes for callers; answers are JSON or a stream of server-sent events."""
 
 from collections.abc import AsyncIterator
 
@@ -12,11 +12,15 @@
 from lycheetide.node._booking_errors import refused_with_key
 from lycheetide.node._booking_keys import issue_key, read_key
 from lycheetide.node._bookings import serve_booking
-from lycheetide.node._leaving import CallerLeft, remember_leaving, serve_while_present
-from lycheetide.node._life import wait_until_awake
+from lycheetide.node._leaving import (
+    CallerDisconnected,
+    remember_disconnect,
+    serve_while_connected,
+)
+from lycheetide.node._life import wait_for_stall_recovery
 from lycheetide.node._prompts import Prompt, to_request_error
 from lycheetide.node._services import serve_lookup
-from lycheetide.node._state import REGAIN_S, draw_id, read_clock
+from lycheetide.node._state import STALL_RECOVERY_S, draw_id, read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
 from lycheetide.routing import (
     Admitted,
@@ -27,11 +31,11 @@
     find_deadline,
 )
 
-DONE = b"data: [DONE]\n\n"
-LARGEST_ANSWER_TOKENS = 32_768
-REQUEST_ID = "x-request-id"
-CALLER_LEFT = 499
-"""Status of an answer that nobody reads."""
+DONE_EVENT = b"data: [DONE]\n\n"
+MAX_ANSWER_TOKENS = 32_768
+REQUEST_ID_HEADER = "x-request-id"
+CLIENT_CLOSED_REQUEST = 499
+"""Status of a response to a caller that has disconnected (as nginx uses it)."""
 
 log = get_log("door")
 
@@ -45,38 +49,44 @@
     stream: bool = False
 
 
-async def read_body(request, largest_bytes):
-    """Read a body, but no more than is allowed.
+async def read_body(request, max_bytes):
+    """Read a request body of at most ``max_bytes`` bytes.
 
     Raises
     ------
     NotRun
-        If it is too large.
+        If the body is larger.
     """
-    announced = request.headers.get("content-length", "")
-    if announced.isdigit():
-        check_body_size(int(announced), largest_bytes)
+    content_length = request.headers.get("content-length", "")
+    if content_length.isdigit():
+        check_body_size(int(content_length), max_bytes)
     parts = []
     size = 0
     async for part in request.stream():
         size += len(part)
-        check_body_size(size, largest_bytes)
+        check_body_size(size, max_bytes)
         parts.append(part)
     return b"".join(parts)
 
 
 async def admit(node, request, request_id):
-    """Check who asks, and for what class and deadline.
+    """Authenticate a request and determine its class and deadline.
 
     Raises
     ------
     NotRun
-        If the request can't be let in.
+        If the node does not accept requests, or a header is invalid.
     """
     now_s = read_clock()
-    await wait_until_awake(node, until_s=now_s + find_wait_s(request.headers))
-    if not node.is_life("accepting"):
-        raise NotRun(Reason.NOT_READY, f"this node is {node.life}", retry_after_s=1.0)
+    await wait_for_stall_recovery(
+        node, until_s=now_s + find_recovery_wait_s(request.headers)
+    )
+    if not node.has_state_flag("accepting"):
+        raise NotRun(
+            Reason.NOT_READY,
+            f"this node accepts no requests (state {node.life})",
+            retry_after_s=1.0,
+        )
     headers = request.headers
     customer = authenticate(
         headers.get("authorization", ""), node.fleet.customers.values()
@@ -88,27 +98,32 @@
     return Admitted(request_id, customer, request_class, now_s, deadline_s)
 
 
-def find_wait_s(headers):
-    """Return how long a request may wait before anything is known of its class.
+def find_recovery_wait_s(headers):
+    """Return how long a request may wait for its node to recover from a stall.
+
+    The wait comes before the class of the request is determined, so only the deadline
+    header limits it. A header that is not a number is reported later.
 
     Examples
     --------
-    >>> find_wait_s({"x-deadline-ms": "500"}), find_wait_s({"x-deadline-ms": "soon"})
-    (0.5, 2.0)
-    >>> find_wait_s({"x-deadline-ms": chr(0xB2)})
+    >>> find_recovery_wait_s({"x-deadline-ms": "500"})
+    0.5
+    >>> find_recovery_wait_s({"x-deadline-ms": "soon"})
+    2.0
+    >>> find_recovery_wait_s({"x-deadline-ms": chr(0xB2)})
     2.0
     """
-    told = headers.get("x-deadline-ms", "")
-    return int(told) / 1e3 if told.isdecimal() else REGAIN_S
+    header = headers.get("x-deadline-ms", "")
+    return int(header) / 1e3 if header.isdecimal() else STALL_RECOVERY_S
 
 
 def parse_prompt(body, fleet):
-    """Read and check the body of a prompt.
+    """Parse and validate the body of a completion request.
 
     Raises
     ------
     NotRun
-        With what came and what was expected.
+        If the body is invalid; the message names the value and what was expected.
     """
     try:
         parsed = msgspec.json.decode(body, type=PromptBody)
@@ -122,11 +137,11 @@
             f"got model {parsed.model!r}, known are {known}",
             status=404,
         )
-    if not 0 < parsed.max_tokens <= LARGEST_ANSWER_TOKENS:
+    if not 0 < parsed.max_tokens <= MAX_ANSWER_TOKENS:
         raise NotRun(
             Reason.BAD_BODY,
             f"got max_tokens {parsed.max_tokens}, "
-            f"expected from 1 to {LARGEST_ANSWER_TOKENS}",
+            f"expected from 1 to {MAX_ANSWER_TOKENS}",
             status=400,
         )
     tokens = count_tokens(parsed.prompt)
@@ -140,8 +155,8 @@
 
 
 def make_error_response(error, request_id):
-    """Return the answer to a caller whose request ended without one."""
-    headers = {REQUEST_ID: request_id}
+    """Return the JSON response for a request that ended with an error."""
+    headers = {REQUEST_ID_HEADER: request_id}
     if error.retry_after_s:
         headers["retry-after"] = str(max(1, round(error.retry_after_s)))
     return JSONResponse(
@@ -150,7 +165,7 @@
 
 
 def describe_error(error):
-    """Return a typed error as plain data."""
+    """Return the fields of a ``RequestError`` that are sent to the caller."""
     described = {
         "outcome": str(error.outcome),
         "reason": str(error.reason),
@@ -162,7 +177,7 @@
 
 
 class Door:
-    """The caller's routes of one node.
+    """The HTTP routes that one node serves to callers.
 
     Parameters
     ----------
@@ -177,30 +192,34 @@
         """Return the HTTP application."""
         app = Starlette(
             routes=[
-                Route("/healthz", self.tell_health),
-                Route("/readyz", self.tell_ready),
+                Route("/healthz", self.get_health),
+                Route("/readyz", self.get_readiness),
                 Route("/v1/completions", self.complete, methods=["POST"]),
-                Route("/v1/keys", self.issue, methods=["POST"]),
+                Route("/v1/keys", self.create_key, methods=["POST"]),
                 Route(
                     "/v1/services/{service}/{operation}",
-                    self.call,
+                    self.call_service,
                     methods=["POST"],
                 ),
             ]
         )
-        return remember_leaving(app)
+        return remember_disconnect(app)
 
-    async def tell_health(self, request):
-        """Say that the process runs."""
+    async def get_health(self, request):
+        """Liveness probe: report that the process runs."""
         return JSONResponse({"node": self.node.own.host})
 
-    async def tell_ready(self, request):
-        """Tell the balancer whether to send callers here."""
-        ready = self.node.is_life("ready")
+    async def get_readiness(self, request):
+        """Readiness probe: tell the load balancer whether to route callers here."""
+        ready = self.node.has_state_flag("ready")
         return JSONResponse({"state": self.node.life}, 200 if ready else 503)
 
-    async def _guard(self, request, serve):
-        """Run one request and turn whatever it raises into an answer."""
+    async def _run_handler(self, request, serve):
+        """Run the handler of one request and turn any exception into a response.
+
+        ``serve`` returns the response and whether the request stays active after it,
+        as a streamed one does until its stream has ended.
+        """
         request_id = draw_id()
         node = self.node
         node.counters.add("requests")
@@ -209,53 +228,53 @@
         try:
             response, keeps_active = await serve(request, request_id)
             return response
-        except CallerLeft:
-            return self._note_leaving(request_id)
+        except CallerDisconnected:
+            return self._record_disconnect(request_id)
         except Exception as caught:
             if not isinstance(caught, RequestError):
                 log.exception("A request failed inside the node.")
             error = to_request_error(caught)
-            self._note_refusal(request_id, error)
+            self._record_error(request_id, error)
             return make_error_response(error, request_id)
         finally:
             if not keeps_active:
                 node.active.pop(request_id, None)
 
-    def _note_refusal(self, request_id, error):
-        """Count, log and keep a request that ended without its answer."""
+    def _record_error(self, request_id, error):
+        """Count and log an error, and record it for ``lycheetide explain``."""
         self.node.counters.add_refusal(error)
         self.node.note(
-            request_id, "The request ended without its answer.",
+            request_id, "The request ended with an error.",
             outcome=str(error.outcome), reason=str(error.reason),
         )  # fmt: skip
         log.info(
-            "A request ended without its answer.",
+            "A request ended with an error.",
             extra={"request_id": request_id, "outcome": str(error.outcome),
                    "reason": str(error.reason), "cause": error.message},
         )  # fmt: skip
 
-    def _note_leaving(self, request_id):
-        """Count and log a request whose caller left; return an answer for nobody."""
+    def _record_disconnect(self, request_id):
+        """Count and log a disconnect; return a response that is never read."""
         self.node.counters.add("requests.caller_left")
-        self.node.note(request_id, "The caller left.")
-        log.info("The caller left.", extra={"request_id": request_id})
-        return Response(status_code=CALLER_LEFT)
+        self.node.note(request_id, "The caller disconnected.")
+        log.info("The caller disconnected.", extra={"request_id": request_id})
+        return Response(status_code=CLIENT_CLOSED_REQUEST)
 
-    async def issue(self, request):
+    async def create_key(self, request):
         """Issue an idempotency key."""
-        return await self._guard(request, self._issue)
+        return await self._run_handler(request, self._create_key)
 
-    async def _issue(self, request, request_id):
+    async def _create_key(self, request, request_id):
         admitted = await admit(self.node, request, request_id)
         key = issue_key(self.node, admitted.customer, now_s=read_clock())
         body = {"key": key.text, "mode": key.mode.name.lower()}
-        return JSONResponse(body, headers={REQUEST_ID: request_id}), False
+        return JSONResponse(body, headers={REQUEST_ID_HEADER: request_id}), False
 
-    async def call(self, request):
-        """Call a plain service."""
-        return await self._guard(request, self._call)
+    async def call_service(self, request):
+        """Call an operation of a service."""
+        return await self._run_handler(request, self._call_service)
 
-    async def _call(self, request, request_id):
+    async def _call_service(self, request, request_id):
         node = self.node
         try:
             admitted = await admit(node, request, request_id)
@@ -285,14 +304,14 @@
             )
             return await serve_booking(node, admitted, operation, body, key)
 
-        answer = await serve_while_present(request, serve)
+        answer = await serve_while_connected(request, serve)
         node.counters.add("answers")
-        headers = {REQUEST_ID: request_id}
+        headers = {REQUEST_ID_HEADER: request_id}
         return JSONResponse(answer.body, answer.status, headers), False
 
     async def complete(self, request):
-        """Answer a prompt."""
-        return await self._guard(request, self._complete)
+        """Complete a prompt."""
+        return await self._run_handler(request, self._complete)
 
     async def _complete(self, request, request_id):
         node = self.node
@@ -301,25 +320,25 @@
         parsed = parse_prompt(body, node.fleet)
         prompt = Prompt(parsed.model, parsed.prompt, parsed.max_tokens)
         node.note(
-            request_id, "The request was let in.",
+            request_id, "The request was admitted.",
             customer=admitted.customer.name, request_class=admitted.request_class.name,
             tokens=count_tokens(prompt.text),
         )  # fmt: skip
         answer = start_answer(node, admitted, prompt)
         if not parsed.stream:
-            return await serve_while_present(
+            return await serve_while_connected(
                 request, lambda: self._collect(answer, parsed, request_id)
             ), False
-        first = await serve_while_present(request, answer.receive_first)
+        first = await serve_while_connected(request, answer.receive_first)
         events = self._stream(answer, first, parsed, request_id)
-        headers = {REQUEST_ID: request_id, "cache-control": "no-store"}
+        headers = {REQUEST_ID_HEADER: request_id, "cache-control": "no-store"}
         response = StreamingResponse(
             events, media_type="text/event-stream", headers=headers
         )
         return response, True
 
     async def _collect(self, answer, parsed, request_id):
-        """Wait for the whole answer and return it in one piece."""
+        """Wait for the whole answer and return it in one response."""
         try:
             texts = [token.text async for token in answer]
         finally:
@@ -334,19 +353,22 @@
                 "completion_tokens": len(texts),
             },
         }
-        return JSONResponse(body, headers={REQUEST_ID: request_id})
+        return JSONResponse(body, headers={REQUEST_ID_HEADER: request_id})
 
     async def _stream(self, answer, first, parsed, request_id) -> AsyncIterator[bytes]:
-        """Yield the answer's events; an error is the last event, without [DONE]."""
+        """Yield the answer as server-sent events.
+
+        An error is sent as the last event, and ``[DONE]`` is not sent after it.
+        """
         try:
             if first is not None:
                 yield encode_token(request_id, parsed.model, first)
             async for token in answer:
                 yield encode_token(request_id, parsed.model, token)
             self.node.counters.add("answers")
-            yield DONE
+            yield DONE_EVENT
         except RequestError as error:
-            self._note_refusal(request_id, error)
+            self._record_error(request_id, error)
             event = msgspec.json.encode({"error": describe_error(error)})
             yield b"event: error\ndata: " + event + b"\n\n"
         finally:
--- a/lycheetide/node/_leaving.py
+++ b/lycheetide/node/_leaving.py
@@ -1,69 +1,70 @@
-"""Notice a caller that closes its connection before its answer.
+"""Detect callers that close their connection before they are answered.
 
-Its work would go on to its deadline for nobody: a slot, memory and a retry's worth of
-reading at an engine, while the same caller may be asking again.
+Otherwise the work would go on until its deadline although nobody reads the answer. It
+would occupy a slot, memory and the time to prefill a retry at an engine, while the same
+caller may be asking again.
 """
 
 import anyio
 
 
-class CallerLeft(Exception):
-    """The caller has gone away; nobody reads the answer."""
+class CallerDisconnected(Exception):
+    """The caller has closed its connection; nobody reads the answer."""
 
 
-def remember_leaving(app):
-    """Return an application whose requests can be asked again whether they are over.
+def remember_disconnect(app):
+    """Wrap an ASGI application so that each request repeats its disconnect message.
 
-    The server tells of a caller's leaving once. Whoever waits for it later, like the
-    writer of a stream, would wait for ever.
+    The server sends ``http.disconnect`` only once. Code that waits for it later, such
+    as the writer of a stream, would wait forever.
 
     Parameters
     ----------
     app : callable
-        The application.
+        The ASGI application.
     """
 
-    async def remembering(scope, receive, send):
-        left = None
+    async def wrapper(scope, receive, send):
+        disconnect = None
 
-        async def receive_again():
-            nonlocal left
-            if left is not None:
-                return left
+        async def receive_or_repeat():
+            nonlocal disconnect
+            if disconnect is not None:
+                return disconnect
             message = await receive()
             if message["type"] == "http.disconnect":
-                left = message
+                disconnect = message
             return message
 
-        await app(scope, receive_again, send)
+        await app(scope, receive_or_repeat, send)
 
-    return remembering
+    return wrapper
 
 
-async def serve_while_present(request, serve):
-    """Serve a request whose body has been read, until its caller leaves.
+async def serve_while_connected(request, serve):
+    """Serve a request whose body has been read, until its caller disconnects.
 
     Parameters
     ----------
     request : Request
         The request.
     serve : callable
-        A coroutine function that serves it; cancelled when the caller leaves.
+        Coroutine function that serves it; cancelled when the caller disconnects.
 
     Returns
     -------
     object
-        What ``serve`` returned.
+        The result of ``serve``.
 
     Raises
     ------
-    CallerLeft
-        If the caller left before.
+    CallerDisconnected
+        If the caller disconnected before that.
     """
     result = None
-    error: Exception | None = CallerLeft()
+    error: Exception | None = CallerDisconnected()
     async with anyio.create_task_group() as group:
-        group.start_soon(_wait_for_leaving, request, group.cancel_scope)
+        group.start_soon(_wait_for_disconnect, request, group.cancel_scope)
         try:
             result = await serve()
             error = None
@@ -75,8 +76,8 @@
     return result
 
 
-async def _wait_for_leaving(request, scope):
-    """Cancel a scope when the caller of a request leaves."""
+async def _wait_for_disconnect(request, scope):
+    """Cancel a scope when the caller of a request disconnects."""
     while (await request.receive())["type"] != "http.disconnect":
         continue
     scope.cancel()
--- a/lycheetide/node/_life.py
+++ b/lycheetide/node/_life.py
@@ -1,25 +1,25 @@
-"""Step a node's life by what it can know."""
+"""Update a node's lifecycle state by whether its knowledge is current."""
 
 import anyio
 
 from lycheetide.metrics import get_log
 from lycheetide.node._state import read_clock
 
-LIFE_TICK_S = 0.1
-WAKING_PAUSE_S = 0.02
+LIFECYCLE_INTERVAL_S = 0.1
+RECOVERY_POLL_S = 0.02
 
 log = get_log("node")
 
 
-def step_life(node, *, now_s):
-    """Step a node's life.
+def update_lifecycle(node, *, now_s):
+    """Update a node's lifecycle state.
 
     A node that hears neither the log nor most of its peers can't know whether a
-    failure domain has been taken out; it tells the balancer that it is not ready,
-    while an outage of the log alone changes nothing.
+    failure domain has been taken out. It then tells the load balancer that it is not
+    ready. An outage of the log alone changes nothing.
     """
-    knows = node.config.version > 0 and node.is_fresh(now_s=now_s)
-    if not node.step("caught_up" if knows else "lost_contact"):
+    is_current = node.config.version > 0 and node.is_fresh(now_s=now_s)
+    if not node.step("caught_up" if is_current else "lost_contact"):
         return
     log.info(
         "The node's state changed.",
@@ -33,14 +33,14 @@
 
 
 async def keep_life(node):
-    """Step a node's life, for ever."""
+    """Update a node's lifecycle state periodically."""
     while True:
-        step_life(node, now_s=read_clock())
-        await anyio.sleep(LIFE_TICK_S)
+        update_lifecycle(node, now_s=read_clock())
+        await anyio.sleep(LIFECYCLE_INTERVAL_S)
 
 
-async def wait_until_awake(node, *, until_s):
-    """Wait while a node's knowledge is old only since the node itself stood still."""
-    while node.is_waking(now_s=read_clock()) and read_clock() < until_s:
-        await anyio.sleep(WAKING_PAUSE_S)
-    step_life(node, now_s=read_clock())
+async def wait_for_stall_recovery(node, *, until_s):
+    """Wait while a node's state is stale only because its process stalled."""
+    while node.is_recovering_from_stall(now_s=read_clock()) and read_clock() < until_s:
+        await anyio.sleep(RECOVERY_POLL_S)
+    update_lifecycle(node, now_s=read_clock())
--- a/lycheetide/node/_owner.py
+++ b/lycheetide/node/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: keep cells, grant permits, and hand cells over."""
+"""The owner's side of permits: own cells, grant permits, and hand cells over."""
 
 from dataclasses import dataclass, field, replace
 from typing import Any
@@ -22,12 +22,12 @@
 )
 from lycheetide.scheduling import Cell, Policy, Ticket
 
-SLICE_S = 1.0
-"""How long an owner holds one call of an entry node that waits."""
+LONG_POLL_S = 1.0
+"""Longest time that an owner holds an ``acquire`` call open until a grant."""
 
-TICK_S = 0.05
-HAND_OVER_S = 1.0
-HAND_OVER_RETRY_S = 0.1
+SCHEDULE_INTERVAL_S = 0.05
+HAND_OVER_TIMEOUT_S = 1.0
+HAND_OVER_RETRY_DELAY_S = 0.1
 KEEP_RELINQUISHED_S = 60.0
 
 log = get_log("owner")
@@ -35,24 +35,30 @@
 
 @dataclass
 class OwnedCell:
-    """A cell that this node owns, and what hangs on it.
+    """A cell that this node owns, and the state that depends on owning it.
 
     Parameters
     ----------
     cell : Cell
         The scheduler's state.
     view_number : int
-        The view by which it became this node's.
+        Number of the membership view that assigned the cell to this node.
     waiters : dict of str to anyio.Event
-        Set when a ticket's permit is there, or the cell is given up.
+        By ticket id; set when the ticket's permit is granted, or the cell is
+        relinquished.
     granted : dict of str to Permit
-        By ticket, so that a permit whose answer was lost is found by asking again.
+        By ticket id, so that an entry node that lost the reply to ``acquire`` gets the
+        same permit when it asks again.
     earlier : dict of str to Member
-        Earlier owners that may still act.
-    settled_from_s : float or None
-        When the last of them can no longer have a permit in use.
-    first_seen : dict of str to dict
-        For each replica, holdings without an owner.
+        Earlier owners that may still grant permits, by member id.
+    settled_since_s : float or None
+        Time from which on no permit of theirs can be unused and still valid.
+    orphans_first_seen : dict of str to dict
+        By replica, when each memory holding without a live request was first seen.
+    probe_sent_s : dict of str to float
+        By replica, when it was last asked which requests it has accepted.
+    is_relinquished : bool
+        Whether this node no longer owns the cell.
     """
 
     cell: Cell
@@ -60,33 +66,33 @@
     waiters: dict = field(default_factory=dict)
     granted: dict = field(default_factory=dict)
     earlier: dict = field(default_factory=dict)
-    settled_from_s: float | None = None
-    first_seen: dict[str, Any] = field(default_factory=dict)
-    proof_asked_s: dict[str, float] = field(default_factory=dict)
-    given_up: bool = False
+    settled_since_s: float | None = None
+    orphans_first_seen: dict[str, Any] = field(default_factory=dict)
+    probe_sent_s: dict[str, float] = field(default_factory=dict)
+    is_relinquished: bool = False
 
 
 def sync_cells(node):
-    """Take the cells that the view gives to this node and give up the others."""
+    """Own the cells that the membership view assigns to this node, and no others."""
     now_s = read_clock()
-    wanted = {}
+    assigned = {}
     if node.membership.view.find(node.own_id) is not None:
-        for name, upstreams in node.find_index().cells.items():
+        for name, upstreams in node.get_cell_index().cells.items():
             if node.membership.find_owner(name) == node.own:
-                wanted[name] = upstreams
-    for name in set(node.cells) - set(wanted):
-        _give_up(node, name, now_s)
-    for name, upstreams in wanted.items():
+                assigned[name] = upstreams
+    for name in set(node.cells) - set(assigned):
+        _relinquish(node, name, now_s)
+    for name, upstreams in assigned.items():
         if name not in node.cells:
-            _take(node, name)
+            _start_owning(node, name)
         owned = node.cells[name]
         domains = node.fleet.failure_domains
         owned.cell.apply_upstreams(upstreams, domains, now_s=now_s)
         run_schedule(node, owned)
 
 
-def _take(node, name):
-    """Begin to own a cell; earlier owners are asked for it first."""
+def _start_owning(node, name):
+    """Start to own a cell; a task asks earlier owners for its state."""
     view = node.membership.view
     policy = Policy(permit_use_s=node.settings.permit_use_s)
     cell = Cell(name, owner_id=f"{node.own_id}@{view.number}", policy=policy)
@@ -95,90 +101,91 @@
     node.cells[name] = owned
     node.relinquished.pop(name, None)
     if not owned.earlier:
-        owned.settled_from_s = read_clock()
+        owned.settled_since_s = read_clock()
     node.counters.add("cells.taken")
-    log.info("A cell is owned.", extra={"cell": name, "view": view.number})
+    log.info("This node now owns a cell.", extra={"cell": name, "view": view.number})
     node.tasks.start_soon(_take_over, node, owned)
 
 
-def _give_up(node, name, now_s):
-    """Stop granting for a cell and keep its state for the next owner."""
+def _relinquish(node, name, now_s):
+    """Stop granting permits for a cell, and keep its state for the next owner."""
     owned = node.cells.pop(name)
-    owned.given_up = True
+    owned.is_relinquished = True
     node.relinquished[name] = (now_s, owned)
     for waiter in owned.waiters.values():
         waiter.set()
     node.counters.add("cells.given_up")
-    log.info("A cell is given up.", extra={"cell": name})
+    log.info("This node has relinquished a cell.", extra={"cell": name})
 
 
 async def _take_over(node, owned):
-    """Ask earlier owners for the cell until none of them can act any more."""
-    while owned.earlier and not owned.given_up:
+    """Ask earlier owners for the cell's state until none of them can grant permits."""
+    while owned.earlier and not owned.is_relinquished:
         for member_id, member in list(owned.earlier.items()):
-            await _ask_earlier(node, owned, member_id, member)
+            await _request_hand_over(node, owned, member_id, member)
         if owned.earlier and node.membership.is_settled():
-            # No earlier owner acts; but a permit that it gave at the last moment may
-            # not have been used yet.
+            # No earlier owner grants permits any more. Wait until the last permit that
+            # one may have granted has been used or has expired.
             await anyio.sleep(node.settings.permit_use_s)
             owned.earlier.clear()
         if owned.earlier:
-            await anyio.sleep(HAND_OVER_RETRY_S)
-    if owned.settled_from_s is None:
-        owned.settled_from_s = read_clock()
+            await anyio.sleep(HAND_OVER_RETRY_DELAY_S)
+    if owned.settled_since_s is None:
+        owned.settled_since_s = read_clock()
     run_schedule(node, owned)
 
 
-async def _ask_earlier(node, owned, member_id, member):
-    """Ask one earlier owner for the cell's permits."""
+async def _request_hand_over(node, owned, member_id, member):
+    """Ask one earlier owner to hand over the cell's permits."""
     if member == node.own:
         del owned.earlier[member_id]
         return
     request = HandOverRequest(member_id, owned.cell.name, owned.view_number)
     try:
         reply = await node.peers.call(
-            member.peer_address, "hand_over", request, timeout_s=HAND_OVER_S
+            member.peer_address, "hand_over", request, timeout_s=HAND_OVER_TIMEOUT_S
         )
     except PeerUnreached:
         return
     if reply.status is HandOverStatus.NOT_YET:
         return
     if reply.status is HandOverStatus.OTHER_INCARNATION:
-        # It is gone and grants no more; what it granted last may still be used.
+        # The earlier process is gone and grants nothing more. The last permits that it
+        # granted may still be used for this long.
         await anyio.sleep(node.settings.permit_use_s)
     else:
-        shift_s = read_clock() - reply.now_s
-        permits = [_shift(permit, shift_s) for permit in reply.permits]
+        clock_offset_s = read_clock() - reply.now_s
+        permits = [_to_local_clock(permit, clock_offset_s) for permit in reply.permits]
         owned.cell.adopt(permits, now_s=read_clock())
         node.counters.add("cells.handed_over")
     owned.earlier.pop(member_id, None)
 
 
-def _shift(permit, shift_s):
-    """Return a permit with its times on this node's clock."""
+def _to_local_clock(permit, clock_offset_s):
+    """Return a permit with its times converted to this node's clock."""
     ticket = replace(
         permit.ticket,
-        arrived_s=permit.ticket.arrived_s + shift_s,
-        asked_s=permit.ticket.asked_s + shift_s,
-        deadline_s=permit.ticket.deadline_s + shift_s,
+        arrived_s=permit.ticket.arrived_s + clock_offset_s,
+        asked_s=permit.ticket.asked_s + clock_offset_s,
+        deadline_s=permit.ticket.deadline_s + clock_offset_s,
     )
     return replace(
         permit,
         ticket=ticket,
-        granted_s=permit.granted_s + shift_s,
-        renewed_s=permit.renewed_s + shift_s,
+        granted_s=permit.granted_s + clock_offset_s,
+        renewed_s=permit.renewed_s + clock_offset_s,
     )
 
 
 def is_acting(node, now_s):
-    """Tell whether this node may grant now."""
+    """Return whether this node may grant permits now."""
     return node.membership.is_acting(now_s=now_s)
 
 
 def run_schedule(node, owned):
-    """Grant what can be granted and wake those who wait for it."""
+    """Grant the permits that can be granted, and wake the calls that wait for them."""
     now_s = read_clock()
-    if owned.given_up or not is_acting(node, now_s):
+    if owned.is_relinquished or not is_acting(node, now_s):
         return
     owned.cell.is_settled = not owned.earlier
     for permit in owned.cell.schedule(now_s=now_s):
@@ -190,19 +197,19 @@
 
 
 async def acquire(node, request):
-    """Answer an entry node that wants a permit.
+    """Handle the call of an entry node that asks for a permit.
 
     Parameters
     ----------
     node : NodeState
-        This node, perhaps the owner.
+        This node, which may or may not own the cell.
     request : AcquireRequest
-        The wish.
+        The request for a permit.
 
     Returns
     -------
     AcquireReply
-        After ``SLICE_S`` at the latest.
+        The outcome so far, after at most ``LONG_POLL_S``.
     """
     now_s = read_clock()
     owned = node.cells.get(request.cell)
@@ -222,7 +229,7 @@
         await _wait_for_grant(owned, request)
     permit = owned.granted.get(request.ticket_id)
     if permit is None:
-        waiting = not owned.given_up
+        waiting = not owned.is_relinquished
         return AcquireReply(
             AcquireStatus.WAITING if waiting else AcquireStatus.NOT_OWNER
         )
@@ -235,7 +242,11 @@
 
 
 async def note_met(node, request):
-    """Learn that an upstream has taken a request, so that the next one may follow."""
+    """Handle an entry node's report that an upstream has accepted a request.
+
+    Only a few requests may be granted to a replica ahead of such a confirmation, so
+    each one lets another request follow.
+    """
     owned = node.cells.get(request.cell)
     if owned is None:
         return MetReply()
@@ -243,24 +254,24 @@
     if owned.cell.note_met(request.permit_id, name, request.boot_id):
         run_schedule(node, owned)
     else:
-        owned.proof_asked_s[name] = 0.0
+        owned.probe_sent_s[name] = 0.0
     return MetReply()
 
 
 async def _wait_for_grant(owned, request):
-    """Wait for a ticket's permit, for one slice at most."""
+    """Wait for a ticket's permit, for at most ``LONG_POLL_S``."""
     if request.ticket_id in owned.granted:
         return
     event = owned.waiters.setdefault(request.ticket_id, anyio.Event())
     try:
-        with anyio.move_on_after(min(SLICE_S, request.left_ms / 1000)):
+        with anyio.move_on_after(min(LONG_POLL_S, request.left_ms / 1000)):
             await event.wait()
     finally:
         owned.waiters.pop(request.ticket_id, None)
 
 
 def _make_ticket(node, request, now_s):
-    """Return the ticket for a wish, on this node's clock."""
+    """Return the ticket for an ``acquire`` request, with times on this node's clock."""
     request_class = node.fleet.classes.get(request.request_class)
     customer = node.fleet.customers.get(request.customer)
     return Ticket(
@@ -284,7 +295,7 @@
 
 
 async def renew(node, request):
-    """Keep permits alive."""
+    """Renew permits; return the ids of those that this owner does not know."""
     owned = node.cells.get(request.cell)
     if owned is None:
         return RenewReply(())
@@ -293,7 +304,7 @@
 
 
 async def adopt(node, request):
-    """Learn of permits that an earlier owner gave."""
+    """Take over permits that an earlier owner granted, as entry nodes report them."""
     owned = node.cells.get(request.cell)
     if owned is not None:
         now_s = read_clock()
@@ -303,7 +314,7 @@
 
 
 async def finish(node, request):
-    """End a permit or withdraw a ticket."""
+    """End a permit or withdraw a ticket; probe replicas that are reported broken."""
     owned = node.cells.get(request.cell)
     if owned is None:
         return FinishReply()
@@ -315,13 +326,13 @@
     owned.cell.finish(permit_id)
     for name in request.broken:
         owned.cell.take_break(name)
-        owned.proof_asked_s[name] = 0.0
+        owned.probe_sent_s[name] = 0.0
     run_schedule(node, owned)
     return FinishReply()
 
 
 async def hand_over(node, request):
-    """Give a cell to its next owner, once this node knows the later view."""
+    """Hand a cell over to its next owner, once this node knows the later view."""
     if request.owner_id != node.own_id:
         return HandOverReply(HandOverStatus.OTHER_INCARNATION)
     if node.membership.view.number < request.view_number:
@@ -338,24 +349,24 @@
 
 
 async def keep_cells(node):
-    """Drop what is lost and grant what became free with time, for ever."""
+    """Periodically drop lost tickets and permits, and grant what time has freed."""
     settings = node.settings
     while True:
-        await anyio.sleep(TICK_S)
+        await anyio.sleep(SCHEDULE_INTERVAL_S)
         now_s = read_clock()
         for owned in list(node.cells.values()):
             owned.cell.drop_lost(
                 now_s=now_s,
-                ticket_s=SLICE_S + settings.permit_use_s,
+                ticket_s=LONG_POLL_S + settings.permit_use_s,
                 permit_s=settings.permit_lost_s,
             )
-            _forget_granted(owned)
+            _drop_ended_permits(owned)
             if owned.cell.tickets:
                 run_schedule(node, owned)
 
 
-def _forget_granted(owned):
-    """Forget by-ticket permits that have ended."""
+def _drop_ended_permits(owned):
+    """Remove permits that have ended from ``owned.granted``."""
     for ticket_id, permit in list(owned.granted.items()):
         if permit.permit_id not in owned.cell.permits:
             del owned.granted[ticket_id]
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -1,4 +1,4 @@
-"""The entry's side of permits: get one, keep it alive, give it back."""
+"""The entry node's side of permits: acquire, renew and release them."""
 
 import itertools
 import random
@@ -22,35 +22,35 @@
 from lycheetide.routing import check_dispatch, rank_cells
 from lycheetide.scheduling import Permit, Ticket
 
-CALL_MARGIN_S = 0.5
-FINISH_S = 1.0
-ACQUIRE_S = _owner.SLICE_S + CALL_MARGIN_S
-"""An owner holds a call for a slice; the margin is for the way there and back."""
-RETRY_S = 0.05
-REFUSED_RETRY_S = 0.5
-UNREACHED_RETRY_AFTER_S = 2.0
+ROUND_TRIP_MARGIN_S = 0.5
+CALL_TIMEOUT_S = 1.0
+ACQUIRE_TIMEOUT_S = _owner.LONG_POLL_S + ROUND_TRIP_MARGIN_S
+"""An owner may hold the call for ``LONG_POLL_S``; the margin is for the round trip."""
+RETRY_DELAY_S = 0.05
+REFUSED_RETRY_DELAY_S = 0.5
+OVERLOADED_RETRY_AFTER_S = 2.0
 
-_draw = random.Random()
+_rng = random.Random()
 
 
 @dataclass(frozen=True)
 class Wish:
-    """What a permit is wanted for.
+    """Description of the permit that a request needs.
 
     Parameters
     ----------
     admitted : Admitted
-        The request.
+        The admitted request.
     serves : str
-        The model or the service.
+        The model or service that a replica must serve.
     prompt_tokens, answer_tokens : int
-        Its size.
+        Size of the request.
     prefix_key : str
-        Empty for plain services.
+        Key of the prompt's prefix; empty for services, which have no prefix cache.
     avoid : tuple of str
         Replicas on which an earlier attempt broke.
     is_begun : bool
-        Whether a part of its answer has come.
+        Whether a part of the answer has been received.
     """
 
     admitted: object
@@ -63,10 +63,10 @@
 
 
 def gather_summaries(node, now_s):
-    """Return what owners said of their cells; the newest for each."""
+    """Return the newest summary of each cell, as the cells' owners report them."""
     summaries = {}
-    known = sorted(node.membership.evidence.values(), key=lambda k: k.at_s)
-    for evidence in known:
+    evidence_by_age = sorted(node.membership.evidence.values(), key=lambda k: k.at_s)
+    for evidence in evidence_by_age:
         for summary in evidence.row.cells:
             summaries[summary.cell] = summary
     for name, owned in node.cells.items():
@@ -74,48 +74,49 @@
     return summaries
 
 
-async def get_permit(node, wish):
-    """Ask for a permit until there is one, or until all refuse.
+async def get_permit(node, spec):
+    """Acquire a permit; keep asking until one is granted or all owners refuse.
 
-    An answer that has begun would be cut by a refusal, and its caller can't take it up
-    elsewhere; so it is asked for again until the deadline.
+    A refusal would cut off an answer that has begun, and its caller could not resume
+    it at another node. For such a request, refusals are retried until its deadline.
 
     Parameters
     ----------
     node : NodeState
         This node.
-    wish : Wish
-        What the permit is for.
+    spec : Wish
+        The permit that is needed.
 
     Returns
     -------
     permit : HeldPermit
-        Registered for renewal; to be given back by ``give_back``.
+        The permit, registered for renewal; end it with ``give_back``.
     asked_s : float
-        When the call that brought it was sent; it has to be used soon after.
+        When the call that brought it was sent. The permit expires a short time after
+        that unless it is used.
 
     Raises
     ------
     NotRun
-        If all refuse.
+        If the owners of all cells refuse, or the class's longest wait is over.
     """
     while True:
         try:
-            return await _ask_cells(node, wish)
+            return await _acquire_from_any_cell(node, spec)
         except NotRun as refusal:
-            if not wish.is_begun:
+            if not spec.is_begun:
                 raise
             node.counters.add(f"permits.refused_begun.{refusal.reason}")
-        await anyio.sleep(REFUSED_RETRY_S)
+        await anyio.sleep(REFUSED_RETRY_DELAY_S)
 
 
-async def _ask_cells(node, wish):
-    """Ask the owners of the cells, the best first, until one grants or all refuse."""
-    admitted = wish.admitted
-    cells = node.find_index().by_served.get(wish.serves, ())
+async def _acquire_from_any_cell(node, spec):
+    """Ask the cells' owners, best rank first, until one grants or all refuse."""
+    admitted = spec.admitted
+    cells = node.get_cell_index().cells_by_served.get(spec.serves, ())
     if not cells:
         raise NotRun(
-            Reason.NO_CAPACITY, f"no replica serves {wish.serves}", retry_after_s=5.0
+            Reason.NO_CAPACITY, f"no replica serves {spec.serves}", retry_after_s=5.0
         )
     ticket_ids = {cell: f"{draw_id()}@{cell}" for cell in cells}
     refusals: dict[str, NotRun] = {}
@@ -125,14 +126,14 @@
         ranked = rank_cells(
             [cell for cell in cells if cell not in refusals],
             gather_summaries(node, now_s),
-            prefix_key=wish.prefix_key,
-            prompt_tokens=wish.prompt_tokens,
-            draw=_draw.random,
+            prefix_key=spec.prefix_key,
+            prompt_tokens=spec.prompt_tokens,
+            draw=_rng.random,
         )
         if not ranked:
             raise min(refusals.values(), key=lambda r: r.retry_after_s or 0.0)
         cell = ranked[turn % len(ranked)]
-        result = await _ask_cell(node, wish, cell, ticket_ids[cell], started_s)
+        result = await _acquire_from_cell(node, spec, cell, ticket_ids[cell], started_s)
         if isinstance(result, NotRun):
             refusals[cell] = result
         elif result is not None:
@@ -142,46 +143,47 @@
             raise NotRun(
                 Reason.OVERLOADED,
                 f"no replica became free within {waited_s:.1f} s",
-                retry_after_s=UNREACHED_RETRY_AFTER_S,
+                retry_after_s=OVERLOADED_RETRY_AFTER_S,
             )
     raise AssertionError("unreachable")
 
 
-async def _ask_cell(node, wish, cell, ticket_id, started_s):
-    """Ask one owner until it grants, refuses or is not the owner any more.
+async def _acquire_from_cell(node, spec, cell, ticket_id, started_s):
+    """Ask one cell's owner until it grants, refuses or no longer owns the cell.
 
     Returns
     -------
     (HeldPermit, float), NotRun or None
-        None if another cell should be asked.
+        The permit and the time of the call that brought it, the refusal, or None if
+        another cell should be asked.
     """
-    admitted = wish.admitted
+    admitted = spec.admitted
     while True:
         owner = node.membership.find_owner(cell)
         if owner is None:
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             return None
         asked_s = read_clock()
-        request = _make_request(node, wish, cell, ticket_id, owner, asked_s)
+        request = _make_acquire_request(node, spec, cell, ticket_id, owner, asked_s)
         try:
             reply = await _call_owner(
                 node,
                 owner,
                 "acquire",
                 request,
-                timeout_s=ACQUIRE_S,
+                timeout_s=ACQUIRE_TIMEOUT_S,
             )
         except PeerUnreached:
             node.counters.add("permits.owner_unreached")
             node.tasks.start_soon(withdraw, node, cell, ticket_id)
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             return None
         except BaseException:
-            # The request was given up on; a permit may be on its way all the same.
+            # The call was cancelled, but the owner may be granting the permit already.
             node.tasks.start_soon(withdraw, node, cell, ticket_id)
             raise
         if reply.status is AcquireStatus.GRANTED:
-            held = _register(node, wish, cell, ticket_id, reply, asked_s)
+            held = _register_permit(node, spec, cell, ticket_id, reply, asked_s)
             node.note(
                 admitted.request_id, "A permit was granted.",
                 cell=cell, owner=owner.host, replicas=list(reply.replicas),
@@ -190,7 +192,7 @@
             return held, asked_s
         if reply.status is AcquireStatus.REFUSED:
             node.note(
-                admitted.request_id, "A cell refused.",
+                admitted.request_id, "A cell refused the request.",
                 cell=cell, owner=owner.host, reason=reply.reason,
             )  # fmt: skip
             return NotRun(
@@ -200,16 +202,16 @@
             )
         if reply.status is AcquireStatus.NOT_OWNER:
             node.counters.add("permits.not_owner")
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             return None
         if read_clock() - admitted.arrived_s > admitted.request_class.max_wait_s:
             node.tasks.start_soon(withdraw, node, cell, ticket_id)
             return None
 
 
-def _make_request(node, wish, cell, ticket_id, owner, now_s):
-    """Return the message to the owner."""
-    admitted = wish.admitted
+def _make_acquire_request(node, spec, cell, ticket_id, owner, now_s):
+    """Return the message that asks an owner for a permit."""
+    admitted = spec.admitted
     return AcquireRequest(
         owner_id=owner.member_id,
         cell=cell,
@@ -218,41 +220,41 @@
         request_id=admitted.request_id,
         customer=admitted.customer.name,
         request_class=admitted.request_class.name,
-        prompt_tokens=wish.prompt_tokens,
-        answer_tokens=wish.answer_tokens,
-        prefix_key=wish.prefix_key,
+        prompt_tokens=spec.prompt_tokens,
+        answer_tokens=spec.answer_tokens,
+        prefix_key=spec.prefix_key,
         left_ms=max(1, int((admitted.deadline_s - now_s) * 1000)),
         waited_ms=max(0, int((now_s - admitted.arrived_s) * 1000)),
-        avoid=wish.avoid,
+        avoid=spec.avoid,
     )
 
 
-LOCAL_CALLS = {
+LOCAL_HANDLERS = {
     "acquire": _owner.acquire,
     "met": _owner.note_met,
     "adopt": _owner.adopt,
     "finish": _owner.finish,
     "renew": _owner.renew,
 }
-"""What an owner answers, for calls within this node."""
+"""Handlers of the owner's calls, used directly if this node is the owner."""
 
 
-async def _call_owner(node, owner, name, request, *, timeout_s=FINISH_S):
-    """Call the owner; this node itself is called without a network.
+async def _call_owner(node, owner, name, request, *, timeout_s=CALL_TIMEOUT_S):
+    """Call the owner; skip the network if the owner is this node.
 
     Raises
     ------
     PeerUnreached
-        If another node gives no answer.
+        If another node does not answer in time.
     """
     if owner == node.own:
-        return await LOCAL_CALLS[name](node, request)
+        return await LOCAL_HANDLERS[name](node, request)
     return await node.peers.call(owner.peer_address, name, request, timeout_s=timeout_s)
 
 
-def _register(node, wish, cell, ticket_id, reply, now_s):
-    """Keep a permit for renewal."""
-    admitted = wish.admitted
+def _register_permit(node, spec, cell, ticket_id, reply, now_s):
+    """Store a granted permit, so that it is renewed."""
+    admitted = spec.admitted
     ticket = Ticket(
         ticket_id=ticket_id,
         entry_id=node.own_id,
@@ -262,9 +264,9 @@
         priority=admitted.request_class.priority,
         aging_s=admitted.request_class.aging_s,
         weight=admitted.customer.weight,
-        prompt_tokens=wish.prompt_tokens,
-        answer_tokens=wish.answer_tokens,
-        prefix_key=wish.prefix_key,
+        prompt_tokens=spec.prompt_tokens,
+        answer_tokens=spec.answer_tokens,
+        prefix_key=spec.prefix_key,
         arrived_s=admitted.arrived_s,
         asked_s=now_s,
         deadline_s=admitted.deadline_s,
@@ -284,10 +286,14 @@
 
 
 def may_send(node, held, asked_s):
-    """Look a last time whether a permit may be used."""
+    """Check, right before dispatch, whether a permit may still be used.
+
+    False if it may not be used now but another one may be acquired; ``NotRun`` is
+    raised if this node can't know the configuration in force.
+    """
     now_s = read_clock()
     fresh = node.is_fresh(now_s=now_s)
-    if not fresh and node.is_waking(now_s=now_s):
+    if not fresh and node.is_recovering_from_stall(now_s=now_s):
         return False
     return check_dispatch(
         node.fleet,
@@ -299,10 +305,11 @@
     )
 
 
-def tell_met(node, held, replica, boot_id):
-    """Tell a permit's owner that an upstream has taken its request, if it waits for it.
+def report_acceptance(node, held, replica, boot_id):
+    """Report to a permit's owner that an upstream has accepted its request.
 
-    The call goes on by itself; if it is lost, the owner asks the upstream.
+    Nothing is sent unless the owner asked for it (``wants_met``). The call runs in the
+    background; if it is lost, the owner asks the upstream.
     """
     if held.wants_met:
         request = MetRequest(held.cell, held.permit.permit_id, replica, boot_id)
@@ -310,9 +317,10 @@
 
 
 def give_back(node, held, *, broken=()):
-    """End a permit; the call to the owner goes on by itself.
+    """End a permit.
 
-    If it is lost, the owner misses the renewals.
+    The call to the owner runs in the background. If it is lost, the owner ends the
+    permit when its renewals stop.
 
     Parameters
     ----------
@@ -321,7 +329,7 @@
     held : HeldPermit
         The permit.
     broken : iterable of str
-        Replicas whose connection broke or fell silent.
+        Replicas whose connection broke or that fell silent.
     """
     if node.permits.pop(held.permit.permit_id, None) is None:
         return
@@ -335,12 +343,15 @@
 
 
 async def withdraw(node, cell, ticket_id):
-    """Tell an owner that a request waits no more."""
+    """Tell an owner that a request no longer waits for a permit."""
     await _tell_owner(node, "finish", FinishRequest(cell, ticket_id=ticket_id))
 
 
 async def _tell_owner(node, name, request):
-    """Make a call whose loss its owner makes up for by itself; count a lost one."""
+    """Make a call to a cell's owner; count it if it is lost.
+
+    It is not repeated, as owners recover from the loss of these calls by themselves.
+    """
     owner = node.membership.find_owner(request.cell)
     if owner is None:
         return
@@ -351,7 +362,7 @@
 
 
 async def renew_permits(node):
-    """Renew all permits, one call a cell, at each interval, for ever."""
+    """Renew all permits periodically, with one call per cell."""
     async with anyio.create_task_group() as group:
         while True:
             await anyio.sleep(node.settings.permit_renewal_s)
@@ -363,7 +374,7 @@
 
 
 async def _renew_cell(node, cell, permit_ids):
-    """Renew one cell's permits; a new owner is told what they are."""
+    """Renew one cell's permits; send those that a new owner does not know in full."""
     owner = node.membership.find_owner(cell)
     if owner is None:
         return
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -1,4 +1,4 @@
-"""Serve one prompt: get a permit, send it, pass on the checked answer."""
+"""Serve one prompt: acquire a permit, send the prompt, relay the checked answer."""
 
 from contextlib import aclosing
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
     get_permit,
     give_back,
     may_send,
-    tell_met,
+    report_acceptance,
 )
 from lycheetide.node._state import draw_id
 from lycheetide.node._successors import (
@@ -54,15 +54,18 @@
 CHART = load_chart("request")
 RETRY_AFTER_S = 1.0
 STALE_PAUSE_S = 0.05
-PREFILL_SLACK = 4.0
-"""How many times its expected reading time a prompt may take to its first token."""
+PREFILL_TIMEOUT_FACTOR = 4.0
+"""Limit on the time to first token, as a multiple of the expected prefill time.
+
+The setting ``silence_s`` is added to it.
+"""
 
 log = get_log("prompt")
 
 
 @dataclass(frozen=True)
 class Prompt:
-    """What a caller asks of a model."""
+    """A prompt and the largest answer that its caller wants."""
 
     model: str
     text: str
@@ -71,34 +74,34 @@
 
 @dataclass
 class PromptRun:
-    """How far one prompt has come.
+    """The state of one prompt while it is served.
 
     Parameters
     ----------
     admitted : Admitted
-        The request.
+        The admitted request.
     prompt : Prompt
-        What is asked.
-    life : str
-        Its state in the request chart.
+        The prompt.
+    lifecycle_state : str
+        State in the request chart (``charts/request.toml``).
     ever_started : bool
-        Whether some upstream may have begun it.
+        Whether any upstream may have started to execute the request.
     check : StreamCheck
-        How far the answer has come.
+        Sequence check of the answer, which holds the next expected token.
     attempts : int
-        The attempts sent.
+        Number of attempts that have failed so far.
     avoid : list of str
         Replicas on which an attempt broke.
     silence : Silence
-        That of the present attempt's upstreams.
+        Silence timer of the current attempt's upstreams.
     successor : (HeldPermit, float) or None
-        The permit for the next attempt, as ``get_permit`` returns it, where the
-        present one was ended for it.
+        Permit for the next attempt, as ``get_permit`` returns it, if the current
+        attempt was ended in favour of that one.
     """
 
     admitted: Any
     prompt: Prompt
-    life: str = CHART.initial
+    lifecycle_state: str = CHART.initial
     ever_started: bool = False
     check: StreamCheck = field(default_factory=lambda: StreamCheck(""))
     attempts: int = 0
@@ -107,8 +110,8 @@
     successor: Any = None
 
     def step(self, event):
-        """Step the request's life."""
-        self.life = CHART.step(self.life, event)
+        """Apply an event to the lifecycle state."""
+        self.lifecycle_state = CHART.step(self.lifecycle_state, event)
 
 
 @dataclass(frozen=True)
@@ -120,23 +123,23 @@
 
 
 async def serve_prompt(node, admitted, prompt, emit):
-    """Serve one prompt until its answer is whole or its time is up.
+    """Serve one prompt until its answer is complete or its deadline passes.
 
     Parameters
     ----------
     node : NodeState
         This node.
     admitted : Admitted
-        The request.
+        The admitted request.
     prompt : Prompt
-        What is asked.
+        The prompt.
     emit : callable
-        A coroutine function that takes each ``Token``.
+        Coroutine function that is called with each ``Token``.
 
     Raises
     ------
     RequestError
-        By what is known of the work.
+        ``NotRun`` if no upstream can have started the request, else ``Failed``.
     """
     run = PromptRun(admitted, prompt)
     run.step("admitted")
@@ -163,7 +166,9 @@
 async def _attempt_until_done(node, run, emit):
     """Make attempts until one delivers the rest of the answer."""
     while True:
-        held, asked_s = take_successor(run) or await get_permit(node, _make_wish(run))
+        held, asked_s = take_successor(run) or await get_permit(
+            node, _make_permit_spec(run)
+        )
         run.step("granted")
         replicas = held.permit.replicas
         broken = ()
@@ -174,7 +179,7 @@
                 give_back(node, held)
                 await anyio.sleep(STALE_PAUSE_S)
                 continue
-            await _send_watched(node, run, held, emit)
+            await _send_until_replaced(node, run, held, emit)
             return
         except UpstreamError as error:
             if not isinstance(error, UpstreamRefused):
@@ -184,8 +189,8 @@
             give_back(node, held, broken=broken)
 
 
-def _make_wish(run):
-    """Return what the next attempt needs a permit for."""
+def _make_permit_spec(run):
+    """Return the description of the permit that the next attempt needs."""
     prompt = run.prompt
     admitted = run.admitted
     return Wish(
@@ -200,13 +205,13 @@
 
 
 def _prepare_retry(node, run, replicas, error):
-    """Decide on another attempt after ``error``; raise if there is none."""
+    """Prepare another attempt after ``error``, or raise if none is allowed."""
     run.ever_started = run.ever_started or error.started_maybe
     run.attempts += 1
     decision = decide_next(node, run, error)
     reason = find_retry_reason(error)
     node.note(
-        run.admitted.request_id, "An attempt broke.",
+        run.admitted.request_id, "An attempt ended with an upstream error.",
         reason=reason, cause=str(error), decision=decision, replicas=list(replicas),
     )  # fmt: skip
     if decision is RetryDecision.GIVE_UP:
@@ -217,26 +222,26 @@
     node.counters.add_retry(reason)
     if not isinstance(error, UpstreamRefused):
         run.avoid.extend(replicas)
-    if CHART.has(run.life, "unsent"):
+    if CHART.has(run.lifecycle_state, "unsent"):
         run.step("permit_stale")
     else:
         run.step("broke")
 
 
 def _find_reason(error):
-    """Return the reason that a caller is told after ``error``."""
+    """Return the reason that is reported to the caller for ``error``."""
     if isinstance(error, (UpstreamRefused, UpstreamUnreached)):
         return Reason.UPSTREAM_REFUSED
     return Reason.UPSTREAM_BROKE
 
 
-async def _send_watched(node, run, held, emit):
-    """Send one attempt; it ends in silence only when it has a successor."""
+async def _send_until_replaced(node, run, held, emit):
+    """Send one attempt; if it falls silent, end it only once it has a successor."""
     run.silence = Silence()
 
     async def seek():
         run.successor = await seek_successor(
-            node, _make_wish(run), held.permit.replicas, run.silence,
+            node, _make_permit_spec(run), held.permit.replicas, run.silence,
             attempts=run.attempts + 1,
         )  # fmt: skip
 
@@ -244,7 +249,10 @@
 
 
 async def _send(node, run, held, emit):
-    """Send one attempt and pass its checked answer on."""
+    """Send one attempt and relay its checked answer.
+
+    Memory reservations that remain at the end are released in the background.
+    """
     permit = held.permit
     upstreams = [node.fleet.upstreams[name] for name in permit.replicas]
     attempt_id = draw_id()
@@ -262,7 +270,7 @@
 
 
 async def _release(node, upstream, holding_id):
-    """Free memory; if the call is lost, the owner finds what is left over."""
+    """Release reserved memory; if the call is lost, the owner reclaims it later."""
     try:
         await release_holding(node.http, upstream, holding_id)
     except UpstreamError:
@@ -270,7 +278,11 @@
 
 
 async def _prepare_call(node, run, permit, upstreams, holdings):
-    """Return the call to the head; a spanning prompt's segments are read first."""
+    """Return the call to the head engine, which generates the answer.
+
+    A prompt that spans several engines is split. The other engines prefill their
+    segments first.
+    """
     admitted = run.admitted
     segments = ()
     text = run.prompt.text
@@ -280,7 +292,7 @@
         text = parts[-1]
         await _reserve_all(node, run, permit, upstreams, holdings)
         holding_id = holdings[-1][1]
-        run.silence.begin(_allow_all_s(node, upstreams[:-1], parts[:-1]))
+        run.silence.begin(_find_segments_timeout_s(node, upstreams[:-1], parts[:-1]))
         segments = await _read_segments(node, run, upstreams, holdings, parts)
         run.silence.end()
     return EngineCall(
@@ -299,10 +311,11 @@
 
 
 async def _reserve_all(node, run, permit, upstreams, holdings):
-    """Reserve memory at each engine, in the order of their names, or at none.
+    """Reserve memory at each engine, in the order of their names.
 
-    ``holdings`` gets each reservation as soon as it is there, so that whatever
-    happens next, the caller of this function releases it.
+    Each reservation is appended to ``holdings`` as soon as it is made, so that the
+    caller of this function releases it whatever happens next: either all engines keep
+    their reservations or none does.
     """
     for upstream, tokens in zip(upstreams, permit.tokens, strict=True):
         holding_id = await reserve_memory(
@@ -316,7 +329,7 @@
 
 
 async def _read_segments(node, run, upstreams, holdings, parts):
-    """Have all engines but the head read their segments, all at once."""
+    """Prefill the segments on all engines but the head, concurrently."""
     handles = [""] * (len(upstreams) - 1)
     errors = []
 
@@ -333,7 +346,7 @@
         except UpstreamError as error:
             errors.append(error)
 
-    if CHART.has(run.life, "unsent"):
+    if CHART.has(run.lifecycle_state, "unsent"):
         run.step("dispatched")
     run.ever_started = True
     async with anyio.create_task_group() as group:
@@ -344,28 +357,30 @@
     return tuple(handles)
 
 
-def _allow_s(node, upstream, text):
-    """Return how long reading a text may take before the engine counts as silent."""
+def _find_read_timeout_s(node, upstream, text):
+    """Return how long a text's prefill may take before the engine counts as silent."""
     read_s = count_tokens(text) / upstream.prefill_tokens_per_s
-    return node.settings.silence_s + PREFILL_SLACK * read_s
+    return node.settings.silence_s + PREFILL_TIMEOUT_FACTOR * read_s
 
 
-def _allow_all_s(node, upstreams, parts):
-    """Return how long the engines may read their segments."""
-    allowed = zip(upstreams, parts, strict=True)
-    return max(_allow_s(node, upstream, text) for upstream, text in allowed)
+def _find_segments_timeout_s(node, upstreams, parts):
+    """Return how long the slowest engine may take to prefill its segment."""
+    engine_parts = zip(upstreams, parts, strict=True)
+    return max(
+        _find_read_timeout_s(node, upstream, text) for upstream, text in engine_parts
+    )
 
 
 async def _read_answer(node, run, held, call, holdings, *, upstream, emit):
-    """Read the head's answer, check each chunk and emit its token."""
+    """Read the answer of the head engine, check each chunk and emit its token."""
     admitted = run.admitted
 
     def on_accepted(holding_id, boot_id):
-        tell_met(node, held, upstream.name, boot_id)
+        report_acceptance(node, held, upstream.name, boot_id)
         if holding_id and all(held != holding_id for _, held in holdings):
             holdings.append((upstream, holding_id))
 
-    if CHART.has(run.life, "unsent"):
+    if CHART.has(run.lifecycle_state, "unsent"):
         run.step("dispatched")
     node.note(
         admitted.request_id, "An attempt was sent.",
@@ -376,7 +391,7 @@
         node.http,
         upstream,
         call,
-        first_s=_allow_s(node, upstream, call.prompt),
+        first_s=_find_read_timeout_s(node, upstream, call.prompt),
         between_s=node.settings.silence_s,
         silence=run.silence,
         on_accepted=on_accepted,
@@ -388,7 +403,7 @@
                 if chunk is None:
                     whole = True
                     break
-                if run.life == "sent":
+                if run.lifecycle_state == "sent":
                     run.step("first_token")
                 await emit(Token(chunk.seq, chunk.text))
     except UpstreamUnreached:
@@ -400,20 +415,25 @@
         run.ever_started = True
         raise
     if not whole:
-        raise UpstreamBroke("the answer ended without its end mark")
+        raise UpstreamBroke("the answer ended without an end marker")
 
 
 async def check_chunks(node, run, chunks):
-    """Yield the chunks that are the next of this attempt, then None at a whole end.
+    """Yield the chunks that arrive in sequence, then None if the answer is complete.
 
     Parameters
     ----------
     node : NodeState
-        Its counters.
+        Node whose counters record dropped and missing chunks.
     run : PromptRun
-        Its ``check`` moves on.
+        Run whose ``check`` is advanced by each chunk.
     chunks : async iterator of Chunk
-        As they come.
+        Chunks as the engine sends them.
+
+    Raises
+    ------
+    UpstreamBroke
+        If a token is missing, or the end marker does not follow the last token.
     """
     async for chunk in chunks:
         run.check, verdict = check_chunk(run.check, chunk)
@@ -431,7 +451,7 @@
 
 
 def to_request_error(error):
-    """Return the typed error for whatever a run raised."""
+    """Return the ``RequestError`` for any exception that a run raised."""
     if isinstance(error, RequestError):
         return error
     return Failed(Reason.INTERNAL, "an error inside the node", status=500)
--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one node share."""
+"""The state that the parts of one node share."""
 
 import secrets
 import time
@@ -22,36 +22,39 @@
 CONFIG_STREAM = "config"
 VIEW_STREAM = "views-{region}"
 BOOKING_STREAM = "bookings"
-VERDICTS_KEPT = 1_000
-LONG_AGO_S = -1e9
-REGAIN_S = 2.0
-"""A node that stood still hears the others again within this time: some heartbeats."""
+MAX_VERDICTS = 1_000
+NEVER_S = -1e9
+STALL_RECOVERY_S = 2.0
+"""A node hears the others again within this time after a stall: some heartbeats."""
 
 CHART = load_chart("node")
 
 
 def read_clock():
-    """Return the present time in seconds; only plumbing calls this."""
+    """Return the monotonic time in seconds.
+
+    Decisions take the time as an argument; only the code around them calls this.
+    """
     return time.monotonic()
 
 
 def draw_id():
-    """Return an id that is never used twice."""
+    """Return a new random id."""
     return secrets.token_hex(8)
 
 
 @dataclass(frozen=True)
 class HeldPermit:
-    """A permit that this node uses, and where it came from.
+    """A permit that this node uses, and the cell that it came from.
 
     Parameters
     ----------
     permit : Permit
         The permit.
     cell : str
-        Whose owner gave it.
+        Cell whose owner granted it.
     wants_met : bool
-        Whether the owner waits to be told that the upstream has taken the request.
+        Whether the owner wants a report when the upstream has accepted the request.
     """
 
     permit: Any
@@ -69,20 +72,20 @@
         The configuration that was indexed.
     cells : mapping of str to list of Upstream
         The replicas of each cell.
-    by_served : mapping of str to list of str
+    cells_by_served : mapping of str to list of str
         For each model or service, the cells that serve it, sorted.
     """
 
     fleet: Any
     cells: Any
-    by_served: Any
+    cells_by_served: Any
 
 
 def make_index(fleet, region):
     """Index the cells whose failure domains lie in ``region``.
 
-    Cells of other regions belong to those regions' members, whom this node's views
-    do not hold.
+    Cells of other regions are owned by members of those regions, and these are not in
+    this node's membership views.
     """
     near = {
         name
@@ -93,10 +96,10 @@
     for upstream in fleet.upstreams.values():
         if upstream.failure_domain in near:
             cells[upstream.cell].append(upstream)
-    by_served: dict[str, list[str]] = defaultdict(list)
+    cells_by_served: dict[str, list[str]] = defaultdict(list)
     for name in sorted(cells):
-        by_served[cells[name][0].serves].append(name)
-    return CellIndex(fleet, cells, by_served)
+        cells_by_served[cells[name][0].serves].append(name)
+    return CellIndex(fleet, cells, cells_by_served)
 
 
 class NodeState:
@@ -105,7 +108,7 @@
     Parameters
     ----------
     settings : Settings
-        What it was told at its start.
+        Settings that the node was started with.
     """
 
     def __init__(self, settings):
@@ -122,7 +125,7 @@
             self.own, lease_s=settings.lease_s, suspect_s=settings.suspect_s
         )
         self.hosts = None
-        self.log_asked_s = LONG_AGO_S
+        self.log_asked_s = NEVER_S
         self.http = make_http_client(connect_s=settings.connect_s)
         self.peers = PeerClient()
         self.log = LogClient(self.http, settings.log_url)
@@ -154,27 +157,27 @@
 
     @property
     def view_stream(self):
-        """The log's stream of this region's views."""
+        """Name of the log stream that holds this region's membership views."""
         return VIEW_STREAM.format(region=self.settings.region)
 
-    def find_index(self):
-        """Return the region's cells, indexed once for each configuration."""
+    def get_cell_index(self):
+        """Return the index of the region's cells, made once for each configuration."""
         if self._index is None or self._index.fleet is not self.fleet:
             self._index = make_index(self.fleet, self.settings.region)
         return self._index
 
     def step(self, event):
-        """Step the node's life; return whether its state changed."""
+        """Apply an event to the node's lifecycle state; return whether it changed."""
         before = self.life
         self.life = CHART.step(before, event)
         return self.life != before
 
-    def is_life(self, flag):
-        """Tell whether the node's state carries a flag of the chart."""
+    def has_state_flag(self, flag):
+        """Return whether the node's lifecycle state has a flag in the chart."""
         return CHART.has(self.life, flag)
 
     def is_fresh(self, *, now_s):
-        """Tell whether this node can know the configuration in force."""
+        """Return whether this node can know the configuration in force."""
         return is_fresh(
             log_asked_s=self.log_asked_s,
             majority_heard=self.membership.is_majority_heard(now_s=now_s),
@@ -182,16 +185,16 @@
             within_s=self.settings.lease_s,
         )
 
-    def is_waking(self, *, now_s):
-        """Tell whether what this node knows is old only since it stood still itself.
+    def is_recovering_from_stall(self, *, now_s):
+        """Return whether this node's state is stale only because its process stalled.
 
-        It hears the log or its peers again within a moment, and what waits for that can
-        still be served.
+        It hears from the log or its peers again within a moment, and requests that wait
+        for that can still be served.
         """
         if self.is_fresh(now_s=now_s):
             return False
-        return self.standstill.is_just_over(now_s=now_s, within_s=REGAIN_S)
+        return self.standstill.is_just_over(now_s=now_s, within_s=STALL_RECOVERY_S)
 
     def note(self, request_id, what, **fields):
-        """Keep a step of a request for ``lycheetide explain``."""
+        """Record a step of a request for ``lycheetide explain``."""
         self.explanations.note(request_id, what, now_s=read_clock(), **fields)
--- a/lycheetide/node/_successors.py
+++ b/lycheetide/node/_successors.py
@@ -1,4 +1,4 @@
-"""Seek the replica that takes a request over from a silent one."""
+"""Find a replica to which a request moves when its current replica is silent."""
 
 from dataclasses import replace
 
@@ -14,83 +14,87 @@
 SEEK_AGAIN_S = 0.5
 
 
-async def seek_successor(node, wish, silent, silence, *, attempts):
-    """Wait until another replica may take a request over, and pay for the retry.
+async def seek_successor(node, spec, silent, silence, *, attempts):
+    """Wait until a request can move to another replica, and spend a retry on it.
 
-    The retry is paid for last, so that none is lost where no permit is to be had or
-    the silent replica goes on.
+    The retry is taken from the customer's budget last, so that none is lost if no
+    permit is granted or the silent replica resumes.
 
     Parameters
     ----------
     node : NodeState
         This node.
-    wish : Wish
-        What the request needs.
+    spec : Wish
+        The permit that the request needs.
     silent : tuple of str
-        The replicas of the present attempt.
+        Replicas of the current attempt.
     silence : Silence
-        Their silence.
+        Their silence timer.
     attempts : int
-        How many there were, with the present one.
+        Number of attempts, including the current one.
 
     Returns
     -------
     permit : HeldPermit
-        As ``get_permit`` returns it.
+        The permit, as ``get_permit`` returns it.
     asked_s : float
         When the call that brought it was sent.
     """
     node.counters.add("attempts.silent")
     node.note(
-        wish.admitted.request_id, "An attempt is silent.",
+        spec.admitted.request_id, "An attempt is silent; seeking another replica.",
         replicas=list(silent), attempts=attempts,
     )  # fmt: skip
     while True:
-        others = list_others(node, wish.serves, silent)
-        if others and _may_follow(node, wish, attempts, node.budgets.has_retry):
-            fresh = set(others) - set(wish.avoid)
-            avoid = (*wish.avoid, *silent) if fresh else silent
+        others = list_other_replicas(node, spec.serves, silent)
+        if others and _can_retry(node, spec, attempts, node.budgets.has_retry):
+            fresh = set(others) - set(spec.avoid)
+            avoid = (*spec.avoid, *silent) if fresh else silent
             try:
-                # A refusal brings back the look at the other replicas and the budget.
-                anew = replace(wish, avoid=avoid, is_begun=False)
-                held, asked_s = await get_permit(node, anew)
+                # ``is_begun=False`` makes a refusal end the call, so that the other
+                # replicas and the budget are checked again.
+                next_spec = replace(spec, avoid=avoid, is_begun=False)
+                held, asked_s = await get_permit(node, next_spec)
             except NotRun:
                 pass
             else:
                 if (
                     silence.is_over(now_s=read_clock())
                     and not set(held.permit.replicas) & set(silent)
-                    and _may_send(node, held, asked_s)
-                    and _may_follow(node, wish, attempts, node.budgets.spend_retry)
+                    and _can_send(node, held, asked_s)
+                    and _can_retry(node, spec, attempts, node.budgets.spend_retry)
                 ):
                     return held, asked_s
                 give_back(node, held)
         await anyio.sleep(SEEK_AGAIN_S)
 
 
-def list_others(node, serves, silent):
-    """Return the replicas that may get new work, other than the silent ones."""
-    index = node.find_index()
+def list_other_replicas(node, serves, silent):
+    """Return the replicas that accept new work, other than the silent ones."""
+    index = node.get_cell_index()
     return [
         upstream.name
-        for cell in index.by_served.get(serves, ())
+        for cell in index.cells_by_served.get(serves, ())
         for upstream in index.cells[cell]
         if upstream.name not in silent
         and takes_new_work(upstream, node.fleet.failure_domains)
     ]
 
 
-def _may_send(node, held, asked_s):
-    """Tell whether a successor may be sent; a node that is cut off waits for that."""
+def _can_send(node, held, asked_s):
+    """Return whether the permit may be used; False also while the node is cut off."""
     try:
         return may_send(node, held, asked_s)
     except NotRun:
         return False
 
 
-def _may_follow(node, wish, attempts, spend):
-    """Tell whether another attempt may follow; ``spend`` takes or finds a retry."""
-    admitted = wish.admitted
+def _can_retry(node, spec, attempts, spend):
+    """Return whether another attempt is allowed.
+
+    ``spend`` takes a retry from the customer's budget, or only checks for one.
+    """
+    admitted = spec.admitted
     now_s = read_clock()
     decision = decide_retry(
         attempts=attempts,
@@ -103,20 +107,20 @@
 
 
 def take_successor(run):
-    """Return the permit for a run's next attempt, if there is one, and forget it."""
+    """Remove and return the permit for a run's next attempt, or return None."""
     successor, run.successor = run.successor, None
     return successor
 
 
 def give_back_successor(node, run):
-    """End the permit of an attempt that is not to be made."""
+    """End the permit for a next attempt that will not be made."""
     successor = take_successor(run)
     if successor is not None:
         give_back(node, successor[0])
 
 
 def decide_next(node, run, error):
-    """Decide on another attempt; one that has its permit is paid for already."""
+    """Decide on another attempt; if a successor has its permit, its retry is spent."""
     if run.successor is not None:
         return RetryDecision.RETRY
     now_s = read_clock()
@@ -130,7 +134,7 @@
 
 
 def find_retry_reason(error):
-    """Return the counter of a retry after ``error``."""
+    """Return the reason under which a retry after ``error`` is counted."""
     if isinstance(error, UpstreamRefused):
         return RetryReason.UPSTREAM_REFUSED
     if isinstance(error, UpstreamSilent):
--- a/lycheetide/node/_tail.py
+++ b/lycheetide/node/_tail.py
@@ -1,4 +1,4 @@
-"""Follow the log: the configuration, the views and the list of hosts."""
+"""Tasks that follow the log, for configuration and views, and the list of hosts."""
 
 import anyio
 
@@ -9,30 +9,30 @@
 from lycheetide.node._state import (
     BOOKING_STREAM,
     CONFIG_STREAM,
-    VERDICTS_KEPT,
+    MAX_VERDICTS,
     read_clock,
 )
 from lycheetide.peers import ConfigReply, ConfigRequest, PeerUnreached
 from lycheetide.platformlog import LogUnavailable, read_hosts
 
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 HOSTS_INTERVAL_S = 1.0
-HEAD_INTERVAL_S = 2.0
-PEER_CONFIG_S = 1.0
+LOG_HEAD_INTERVAL_S = 2.0
+PEER_CONFIG_TIMEOUT_S = 1.0
 
 config_log = get_log("config")
 member_log = get_log("member")
 
 
 async def follow_config(node, on_change):
-    """Take configuration records into force, for ever.
+    """Apply configuration records from the log as they are appended.
 
     Parameters
     ----------
     node : NodeState
         The node.
     on_change : callable
-        Called after each change that is accepted.
+        Called after each successful read of the log, even if nothing changed.
     """
     while True:
         asked_s = read_clock()
@@ -44,18 +44,21 @@
             if batch.first_retained > offset:
                 batch = await node.log.read_all(CONFIG_STREAM, batch.first_retained)
         except LogUnavailable as error:
-            config_log.debug("The log can't be read.", extra={"cause": str(error)})
+            config_log.debug(
+                "Reading the log failed; the read is repeated.",
+                extra={"cause": str(error)},
+            )
             node.counters.add("log.unavailable")
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             continue
         state = begin(batch.records, batch.first_retained, node.config)
         if state is None:
             config_log.error(
-                "The log has a gap that no snapshot closes.",
+                "The log has a gap that no snapshot covers.",
                 extra={"first_retained": batch.first_retained, "offset": offset},
             )
             node.counters.add("config.gap")
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             continue
         _fold_batch(node, state, batch, on_change)
         node.log_asked_s = max(node.log_asked_s, asked_s)
@@ -63,41 +66,42 @@
 
 
 def _fold_batch(node, state, batch, on_change):
-    """Fold a batch of records into the state."""
+    """Fold a batch of records into the configuration state."""
     changed = state.version > node.config.version
     for offset, record in batch.records:
         before = state.version
         state, verdict = fold(state, offset, record)
         changed = changed or state.version != before
         if verdict is not None:
-            _keep_verdict(node, verdict)
+            _store_verdict(node, verdict)
     node.config = state
     if changed:
-        _announce(node)
+        _record_new_version(node)
 
 
-def _keep_verdict(node, verdict):
-    """Remember what became of a change, for whoever published it.
+def _store_verdict(node, verdict):
+    """Store the verdict on a change, so that its publisher can fetch it.
 
-    A publisher whose append had no answer appends again with the same id; the second
-    record loses against the first one, which must not look like a refusal.
+    A publisher that got no reply to its append repeats it with the same id. The second
+    record is refused because of the first one. This must not make an accepted change
+    look refused, so a stored acceptance is kept.
     """
     known = node.verdicts.get(verdict.record_id)
     if known is not None and known.accepted:
         return
     node.verdicts[verdict.record_id] = verdict
-    while len(node.verdicts) > VERDICTS_KEPT:
+    while len(node.verdicts) > MAX_VERDICTS:
         node.verdicts.popitem(last=False)
     if not verdict.accepted:
         node.counters.add("config.refused")
         config_log.warning(
-            "A change was refused.",
+            "A configuration change was refused.",
             extra={"record_id": verdict.record_id, "findings": verdict.findings},
         )
 
 
-def _announce(node):
-    """Note that another version is in force."""
+def _record_new_version(node):
+    """Log and count a new configuration version, and set ``config_changed``."""
     node.config_since_s = read_clock()
     node.counters.add("config.changed")
     config_log.info(
@@ -108,10 +112,10 @@
 
 
 async def follow_peers_config(node, on_change):
-    """Fetch the configuration from a peer that has a newer one, for ever.
+    """Fetch the configuration from a peer whenever one has a newer version.
 
-    During an outage of the log this is how a new host learns it; a node that is cut
-    off from the log alone learns of a change so.
+    A new host that starts during an outage of the log gets the configuration this way,
+    and so does a node that alone is cut off from the log when there is a change.
     """
     while True:
         await anyio.sleep(node.settings.heartbeat_interval_s)
@@ -123,7 +127,7 @@
                 member.peer_address,
                 "fetch_config",
                 ConfigRequest(node.config.version),
-                timeout_s=PEER_CONFIG_S,
+                timeout_s=PEER_CONFIG_TIMEOUT_S,
             )
         except PeerUnreached:
             continue
@@ -133,12 +137,12 @@
         if state.version > node.config.version:
             node.config = state
             node.counters.add("config.from_peer")
-            _announce(node)
+            _record_new_version(node)
             on_change()
 
 
 def give_config(node):
-    """Return the handler that gives the configuration to a peer."""
+    """Return the handler that sends this node's configuration to a peer."""
 
     async def fetch_config(request):
         if node.config.version <= request.version:
@@ -149,7 +153,7 @@
 
 
 async def follow_views(node, on_change):
-    """Take views into force, for ever."""
+    """Apply membership views from the log as they are appended."""
     offset = 0
     while True:
         try:
@@ -157,7 +161,7 @@
                 node.view_stream, offset, wait_s=node.settings.log_wait_s
             )
         except LogUnavailable:
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             continue
         now_s = read_clock()
         changed = False
@@ -168,14 +172,14 @@
         if changed:
             hosts = [member.host for member in node.membership.view.members]
             member_log.info(
-                "A view is in force.",
+                "A membership view is in force.",
                 extra={"view": node.membership.view.number, "hosts": hosts},
             )
             on_change()
 
 
 async def follow_hosts(node):
-    """Read the platform's list of hosts, for ever."""
+    """Read the platform's list of hosts periodically."""
     while True:
         try:
             node.hosts = await read_hosts(node.http, node.settings.hosts_url)
@@ -185,7 +189,7 @@
 
 
 async def follow_booking_head(node):
-    """Keep the end of the bookings' stream known, for the birth of new keys."""
+    """Track the end of the bookings' stream, which new idempotency keys refer to."""
     while True:
         try:
             batch = await node.log.read(
@@ -195,31 +199,35 @@
                 node.booking_writer.next_offset, batch.next_offset
             )
         except LogUnavailable:
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             continue
-        await anyio.sleep(HEAD_INTERVAL_S)
+        await anyio.sleep(LOG_HEAD_INTERVAL_S)
 
 
 async def write_snapshots(node):
-    """Append a snapshot when many records have come since the last, for ever.
+    """Append a snapshot whenever ``snapshot_records`` records followed the last one.
 
-    Only the first member of the view does so; a second one would do no harm.
+    Only the first member of the view does so. A snapshot by a second one would do no
+    harm.
     """
-    last = node.config.folded_offset
+    last_snapshot_offset = node.config.folded_offset
     while True:
-        await anyio.sleep(HEAD_INTERVAL_S)
+        await anyio.sleep(LOG_HEAD_INTERVAL_S)
         members = node.membership.view.members
         if not members or members[0].member_id != node.own_id:
-            last = node.config.folded_offset
+            last_snapshot_offset = node.config.folded_offset
             continue
-        if node.config.folded_offset - last < node.settings.snapshot_records:
+        if (
+            node.config.folded_offset - last_snapshot_offset
+            < node.settings.snapshot_records
+        ):
             continue
         try:
             record = make_snapshot_record(node.config)
             await node.log.append(CONFIG_STREAM, [record])
             view_record = make_view_snapshot_record(node.membership.view)
             await node.log.append(node.view_stream, [view_record])
-            last = node.config.folded_offset
+            last_snapshot_offset = node.config.folded_offset
             node.counters.add("config.snapshot")
         except LogUnavailable:
             continue
--- a/lycheetide/node/_watch.py
+++ b/lycheetide/node/_watch.py
@@ -1,4 +1,4 @@
-"""The owner's watch over its replicas: load reports and memory nobody owns."""
+"""The owner's monitoring of its replicas: load reports, probes, orphaned memory."""
 
 from dataclasses import replace
 
@@ -16,28 +16,32 @@
     release_holding,
 )
 
-PROOF_TICK_S = 0.01
-PROOF_SPACING_S = 0.02
-UNTOLD_SPACING_S = 0.1
-"""The same for an engine, whose entry nodes tell by themselves."""
-SERVICE_LOST_S = 60.0
+PROBE_CHECK_INTERVAL_S = 0.01
+MIN_PROBE_INTERVAL_S = 0.02
+"""Shortest time between two probes of one replica."""
+
+ENGINE_MIN_PROBE_INTERVAL_S = 0.1
+"""The same for an engine; entry nodes report which requests it has accepted."""
+
+LOST_CALL_GRACE_S = 60.0
+"""How long after its deadline a lost call to a service still counts."""
 
 owner_log = get_log("owner")
 reclaim_log = get_log("reclaim")
 
 
 async def poll_reports(node):
-    """Ask each owned replica for its load, at each interval, for ever."""
+    """Poll the load of each owned replica, once per report interval."""
     async with anyio.create_task_group() as group:
         while True:
             for owned in list(node.cells.values()):
                 for name in list(owned.cell.replicas):
-                    group.start_soon(poll_one, node, owned, name)
+                    group.start_soon(poll_replica, node, owned, name)
             await anyio.sleep(node.settings.report_interval_s)
 
 
-async def poll_one(node, owned, name):
-    """Ask one replica for its load."""
+async def poll_replica(node, owned, name):
+    """Poll the load of one replica."""
     replica = owned.cell.replicas.get(name)
     if replica is None:
         return
@@ -46,14 +50,18 @@
         report = await fetch_report(node.http, replica.upstream)
     except UpstreamError as error:
         node.counters.add("upstreams.silent")
-        if owned.cell.replicas.get(name) == replica or _is_stale(node, owned, name):
+        if owned.cell.replicas.get(name) == replica or _is_report_stale(
+            node, owned, name
+        ):
             owned.cell.take_silence(name)
         owner_log.debug(
-            "A replica gave no report.", extra={"upstream": name, "cause": str(error)}
+            "A replica did not answer the load poll.",
+            extra={"upstream": name, "cause": str(error)},
         )
         return
     if replica.upstream.kind == "engine":
-        # What was granted before it may be unsent still; `prove_one` asks what was met.
+        # A permit that was granted before the report may not have been sent yet, so the
+        # report doesn't tell which were accepted; `probe_replica` asks for that.
         report = replace(report, met=frozenset())
     before = owned.cell.replicas.get(name)
     owned.cell.take_report(name, report, asked_s=asked_s, now_s=read_clock())
@@ -74,38 +82,39 @@
     run_schedule(node, owned)
 
 
-def find_proof_spacing_s(owned, name):
-    """Return the pause between two proofs that one replica is asked for, in seconds.
+def find_probe_interval_s(owned, name):
+    """Return the shortest time between two probes of one replica, in seconds.
 
-    Entry nodes tell what an engine has taken, sooner than it could be asked for that.
+    It is longer for an engine: entry nodes report which requests it has accepted,
+    sooner than it could be asked.
     """
     replica = owned.cell.replicas[name]
     if replica.upstream.kind == "engine" and replica.boot_id:
-        return UNTOLD_SPACING_S
-    return PROOF_SPACING_S
+        return ENGINE_MIN_PROBE_INTERVAL_S
+    return MIN_PROBE_INTERVAL_S
 
 
-async def prove_one(node, owned, name):
-    """Ask one replica which requests its present life has taken."""
+async def probe_replica(node, owned, name):
+    """Ask one replica which requests its current process has accepted."""
     replica = owned.cell.replicas.get(name)
     if replica is None or replica.upstream.kind != "engine" or not replica.boot_id:
-        await poll_one(node, owned, name)
+        await poll_replica(node, owned, name)
         return
     asked_s = read_clock()
     try:
         boot_id, holdings = await fetch_life(node.http, replica.upstream)
     except UpstreamError:
-        # Whether it is silent is for its load report to tell.
+        # A silent replica is detected by its load poll, not here.
         return
     request_ids = {holding.request_id for holding in holdings}
     if not owned.cell.take_met(name, boot_id, request_ids, asked_s=asked_s):
-        await poll_one(node, owned, name)
+        await poll_replica(node, owned, name)
         return
     run_schedule(node, owned)
 
 
-def _is_stale(node, owned, name):
-    """Tell whether a replica's last report is too old to rest on."""
+def _is_report_stale(node, owned, name):
+    """Return whether a replica's last report is too old to rely on."""
     replica = owned.cell.replicas.get(name)
     if replica is None:
         return False
@@ -113,21 +122,21 @@
 
 
 async def prove_replicas(node):
-    """Ask replicas at once whose next grant only waits for a fresh report."""
+    """Probe replicas whose next grant only waits for a fresh confirmation."""
     async with anyio.create_task_group() as group:
         while True:
-            await anyio.sleep(PROOF_TICK_S)
+            await anyio.sleep(PROBE_CHECK_INTERVAL_S)
             now_s = read_clock()
             for owned in list(node.cells.values()):
                 for name in owned.cell.find_unproved():
-                    last_s = owned.proof_asked_s.get(name, 0.0)
-                    if now_s - last_s >= find_proof_spacing_s(owned, name):
-                        owned.proof_asked_s[name] = now_s
-                        group.start_soon(prove_one, node, owned, name)
+                    last_s = owned.probe_sent_s.get(name, 0.0)
+                    if now_s - last_s >= find_probe_interval_s(owned, name):
+                        owned.probe_sent_s[name] = now_s
+                        group.start_soon(probe_replica, node, owned, name)
 
 
 async def reclaim_memory(node):
-    """Release what engines hold for nobody, at each interval, for ever."""
+    """Periodically release engine memory that no live request owns."""
     while True:
         await anyio.sleep(node.settings.reclaim_interval_s)
         async with anyio.create_task_group() as group:
@@ -136,11 +145,11 @@
                     if replica.upstream.kind == "engine":
                         group.start_soon(_reclaim_one, node, owned, name)
                     else:
-                        _drop_lost_calls(owned, name)
+                        _end_lost_calls(owned, name)
 
 
 async def _reclaim_one(node, owned, name):
-    """Compare one engine's list with the requests that are alive."""
+    """Release those of one engine's memory holdings that no live request owns."""
     upstream = owned.cell.replicas[name].upstream
     alive = {p.ticket.request_id for p in owned.cell.permits.values()}
     lost = {p.ticket.request_id for p in owned.cell.lost_permits.values()} - alive
@@ -148,7 +157,7 @@
         holdings = await fetch_holdings(node.http, upstream)
     except UpstreamError:
         return
-    if owned.given_up:
+    if owned.is_relinquished:
         return
     alive.update(p.ticket.request_id for p in owned.cell.permits.values())
     now_s = read_clock()
@@ -156,12 +165,12 @@
     orphans, seen = find_orphans(
         [h for h in holdings if h.request_id not in lost - alive],
         alive,
-        owned.first_seen.get(name, {}),
+        owned.orphans_first_seen.get(name, {}),
         now_s=now_s,
         grace_s=grace_s,
     )
-    owned.first_seen[name] = seen
-    # A lost permit has had its grace already, while it was not renewed.
+    owned.orphans_first_seen[name] = seen
+    # No grace period for lost permits: theirs was the time without renewals.
     orphans.extend(h for h in holdings if h.request_id in lost - alive)
     for orphan in orphans:
         await _release(node, upstream, orphan)
@@ -170,14 +179,14 @@
 
 
 async def _release(node, upstream, orphan):
-    """Release one holding; if the call is lost, the next round finds it again."""
+    """Release one memory holding; if the call is lost, the next round repeats it."""
     try:
         await release_holding(node.http, upstream, orphan.holding_id)
     except UpstreamError:
         return
     node.counters.add("reclaim.released")
     reclaim_log.warning(
-        "Memory that nobody owned was released.",
+        "Memory that no request owned was released.",
         extra={
             "upstream": upstream.name,
             "request_id": orphan.request_id,
@@ -186,10 +195,10 @@
     )
 
 
-def _drop_lost_calls(owned, name):
-    """End lost permits of plain services after their deadline."""
+def _end_lost_calls(owned, name):
+    """End lost permits of services, some time after their deadline."""
     now_s = read_clock()
     for permit in list(owned.cell.lost_permits.values()):
         late_s = now_s - permit.ticket.deadline_s
-        if name in permit.replicas and late_s > SERVICE_LOST_S:
+        if name in permit.replicas and late_s > LOST_CALL_GRACE_S:
             owned.cell.finish(permit.permit_id)
--- a/lycheetide/node/tests/test_successors.py
+++ b/lycheetide/node/tests/test_successors.py
@@ -1,4 +1,4 @@
-"""A silent attempt is kept until its successor can be sent, and paid for once."""
+"""A silent attempt is kept until its successor can be sent; one retry is spent."""
 
 from types import SimpleNamespace
 
@@ -26,7 +26,10 @@
 
 
 def make_node():
-    """Return what the search for a successor needs of a node with two engines."""
+    """Return a stub with what the search for a successor needs of a node.
+
+    It has two engines, ``a1`` and ``a2``.
+    """
     engines = {
         name: Upstream(name, "engine", "m", "cork-a", f"http://{name}", "c")
         for name in ("a1", "a2")
@@ -35,21 +38,21 @@
     fleet = Fleet(upstreams=engines, failure_domains=domains)
     return SimpleNamespace(
         fleet=fleet,
-        find_index=lambda: make_index(fleet, "munster"),
+        get_cell_index=lambda: make_index(fleet, "munster"),
         budgets=CustomerBudgets(),
         counters=Counters(None),
         note=lambda *_, **__: None,
         is_fresh=lambda *, now_s: True,
-        is_waking=lambda *, now_s: False,
+        is_recovering_from_stall=lambda *, now_s: False,
         settings=SimpleNamespace(permit_use_s=2.0),
     )
 
 
-async def seek(node, monkeypatch, permits):
-    """Seek a successor of ``a1``; return its replicas and those given back."""
+async def find_successor(node, monkeypatch, permits):
+    """Find a successor of ``a1``; return its replicas and those of released permits."""
     given_back = []
 
-    async def get_permit(node, wish):
+    async def get_permit(node, spec):
         came = permits.pop(0)
         if isinstance(came, NotRun):
             raise came
@@ -71,23 +74,24 @@
     return held.permit.replicas, [held.permit.replicas for held in given_back]
 
 
-async def test_refusals_and_the_silent_replica_itself_are_no_successors(monkeypatch):
-    """No other replica has room yet, and the silent one is granted once more."""
+async def test_a_refusal_or_the_silent_replica_is_not_a_successor(monkeypatch):
+    """A refusal comes first, then a permit for the silent replica itself."""
     node = make_node()
     refusal = NotRun(Reason.NO_CAPACITY)
-    found, given_back = await seek(node, monkeypatch, [refusal, "a1", "a2"])
+    found, given_back = await find_successor(node, monkeypatch, [refusal, "a1", "a2"])
     assert (found, given_back) == (("a2",), [("a1",)])
     assert node.budgets.retries == {"kestrel": 1}
 
 
 async def test_a_node_that_may_not_send_keeps_its_silent_attempt(monkeypatch):
-    """A node is cut off for a moment, just when a permit for a successor comes.
+    """A node is cut off for a moment, just when a successor's permit is granted.
 
-    Left then, a request would end as "not fresh", though its upstream may go on.
+    If the silent attempt were given up then, the request would end with the reason "not
+    fresh", although its upstream may still answer.
     """
     node = make_node()
     freshness = [False, True]
     node.is_fresh = lambda *, now_s: freshness.pop(0)
-    found, given_back = await seek(node, monkeypatch, ["a2", "a2"])
+    found, given_back = await find_successor(node, monkeypatch, ["a2", "a2"])
     assert (found, given_back) == (("a2",), [("a2",)])
     assert node.budgets.retries == {"kestrel": 1}
