--- a/lycheetide/node/tests/test_cold.py
+++ b/lycheetide/node/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""Engines that turn cold get no more than they bear, from all nodes together."""
+"""Cold engines get no more requests than they can bear, from all nodes together."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def cold_fleet():
-    """Nine nodes before four engines that need two seconds to warm up."""
+    """Start nine nodes and four engines that take two seconds to warm up."""
     with LocalFleet() as local:
         make_forge_works(
             local, engines=4, nodes=9, bookings=1, cold_s=COLD_S, cold_limit=2,
@@ -26,7 +26,7 @@
         yield local
 
 
-def find_fallen(fleet):
+def find_crashed(fleet):
     return {
         name: fleet.record(name)["fallen_over"]
         for name in fleet.engines
@@ -34,10 +34,11 @@
     }
 
 
-def test_engines_that_turn_cold_under_load_with_nine_nodes_sending(cold_fleet):
-    """Engines restart on their addresses without a word, one by one, then all.
+def test_nine_nodes_do_not_overload_engines_that_restart_under_load(cold_fleet):
+    """Engines restart at the same address unnoticed, one by one, then all at once.
 
-    Nine nodes that each sent "only a little" would send nine times too much.
+    If each of the nine nodes limited only its own requests to a cold engine, the engine
+    would get nine times as many as it can bear.
     """
     fleet = cold_fleet
     with ThreadPoolExecutor(200) as pool:
@@ -52,15 +53,16 @@
     worst = [fleet.record(name)["worst_cold_in_flight"] for name in fleet.engines]
     print(f"{len(answers)} requests, most in flight on a cold engine {max(worst)}")
     assert max(worst) > 0
-    assert find_fallen(fleet) == {}
+    assert find_crashed(fleet) == {}
     assert find_broken(fleet, answers, deadline_s=10.0) == []
     wait_memory_free(fleet)
 
 
-def test_idle_engines_restart_and_a_burst_comes_before_any_report(cold_fleet):
-    """Engines restart while nothing runs there, so no broken stream tells of it.
+def test_idle_engines_restart_just_before_a_burst(cold_fleet):
+    """Engines restart while they are idle, so no broken stream reveals the restart.
 
-    Eighty requests come through nine nodes before the next load report is due.
+    Eighty requests arrive at nine nodes before the next load report is due, while the
+    owner still takes the engines for warm.
     """
     fleet = cold_fleet
     nodes = list(fleet.nodes.values())
@@ -77,16 +79,16 @@
             for i in range(80)
         ]
         answers = [job.result() for job in jobs]
-    assert find_fallen(fleet) == {}
+    assert find_crashed(fleet) == {}
     assert find_broken(fleet, answers, deadline_s=15.0) == []
     assert {answer.outcome for answer in answers} == {"answered"}
 
 
-def test_engines_turn_cold_while_their_owner_is_frozen_or_killed(cold_fleet):
-    """The owner of the engines is frozen, then another one killed; engines restart.
+def test_engines_restart_while_their_owner_is_frozen(cold_fleet):
+    """The owner of the engines is frozen and resumed later; engines restart meanwhile.
 
-    The next owner knows nothing of what was granted, and the thawed one thinks that
-    it still owns them.
+    The next owner does not know which permits were granted, and the resumed one still
+    takes itself for the owner. Both could grant permits for cold engines.
     """
     fleet = cold_fleet
     owners = [
@@ -106,7 +108,7 @@
         owners[0].thaw()
         jobs += keep_asking(fleet, pool, 2.0)
         answers = [job.result() for job in jobs]
-    assert find_fallen(fleet) == {}
+    assert find_crashed(fleet) == {}
     assert find_broken(fleet, answers, deadline_s=10.0) == []
     answered = [a for a in answers if a.outcome == "answered"]
     print(f"{len(answered)} of {len(answers)} answered")
--- a/lycheetide/node/tests/test_domains.py
+++ b/lycheetide/node/tests/test_domains.py
@@ -1,4 +1,4 @@
-"""Domains, upstreams and the configuration, while nodes freeze and the log is out."""
+"""Configuration changes take effect while nodes are frozen or the log is down."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -9,22 +9,22 @@
 from standins.callers import ask_prompt
 from standins.promises import find_broken
 
-NOTICE_S = 3.0
+MAX_PROPAGATION_S = 3.0
 DOMAIN = "cork-b"
 OTHERS = ("cork-a", "cork-c")
 
 
-def make_domain(state, name=DOMAIN):
+def make_domain_entry(state, name=DOMAIN):
     return ("failure_domains", name, FailureDomain(name, "munster", state))
 
 
-def list_domain(fleet, name=DOMAIN):
+def list_domain_engines(fleet, name=DOMAIN):
     index = "abc".index(name[-1])
     return [engine for i, engine in enumerate(fleet.engines) if i % 3 == index]
 
 
 def list_late_starts(fleet, engines, since_s):
-    """Return the starts after an instant on this machine's clock."""
+    """Return the requests that engines started after ``since_s`` (monotonic clock)."""
     return [
         row
         for name in engines
@@ -34,11 +34,11 @@
 
 
 def keep_asking(fleet, pool, seconds, nodes=None, **fields):
-    """Send short prompts through all nodes for a while; return the jobs."""
+    """Send short prompts through all nodes for ``seconds``; return the futures."""
     nodes = nodes or list(fleet.nodes.values())
     jobs: list[Any] = []
-    begun_s = time.monotonic()
-    while time.monotonic() - begun_s < seconds:
+    started_s = time.monotonic()
+    while time.monotonic() - started_s < seconds:
         for node in nodes:
             jobs.append(
                 pool.submit(
@@ -50,21 +50,21 @@
     return jobs
 
 
-def versions(fleet):
+def list_versions(fleet):
     rows = [fleet.status(name) for name, node in fleet.nodes.items()
             if node.is_running()]  # fmt: skip
     return [row["config_version"] if row else -1 for row in rows]
 
 
 def test_a_domain_taken_out_and_an_upstream_that_leaves_get_no_new_work(own_fleet):
-    """Operators take a domain out under load, and later one upstream elsewhere."""
+    """Operators take a domain out under load, then one upstream in another domain."""
     fleet = own_fleet
-    leaving = list_domain(fleet, "cork-a")[0]
+    leaving = list_domain_engines(fleet, "cork-a")[0]
     with ThreadPoolExecutor(64) as pool:
         jobs = keep_asking(fleet, pool, 1.0)
-        fleet.publish([make_domain("out")])
+        fleet.publish([make_domain_entry("out")])
         out_s = time.monotonic()
-        in_force_s = fleet.wait_for(lambda: min(versions(fleet)) == fleet.version)
+        in_force_s = fleet.wait_for(lambda: min(list_versions(fleet)) == fleet.version)
         jobs += keep_asking(fleet, pool, 2.0)
         row = next(
             value
@@ -78,19 +78,23 @@
         jobs += keep_asking(fleet, pool, 2.0)
         answers = [job.result() for job in jobs]
     print(f"in force everywhere after {in_force_s:.3f} s")
-    assert in_force_s < NOTICE_S
-    assert list_late_starts(fleet, list_domain(fleet), out_s + NOTICE_S) == []
-    assert list_late_starts(fleet, [leaving], left_s + NOTICE_S) == []
-    assert list_late_starts(fleet, list_domain(fleet), out_s + 0.5) == []
+    assert in_force_s < MAX_PROPAGATION_S
+    assert (
+        list_late_starts(fleet, list_domain_engines(fleet), out_s + MAX_PROPAGATION_S)
+        == []
+    )
+    assert list_late_starts(fleet, [leaving], left_s + MAX_PROPAGATION_S) == []
+    assert list_late_starts(fleet, list_domain_engines(fleet), out_s + 0.5) == []
     assert {answer.outcome for answer in answers} == {"answered"}
     assert find_broken(fleet, answers, deadline_s=10.0) == []
 
 
 def test_a_node_frozen_while_a_domain_is_taken_out_sends_nothing_there(own_fleet):
-    """A node is frozen with requests at every stage; the domain goes out meanwhile.
+    """A node is frozen with requests at every stage, and a domain is taken out.
 
-    Thawed, it has an old table and decisions made before. Had it sent them, engines
-    that operators are about to switch off would hold new work.
+    When it resumes, its configuration is old, and so are the decisions it has made. If
+    it sent these requests, engines that operators are about to switch off would get new
+    work.
     """
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
@@ -99,46 +103,52 @@
         nodes[0].freeze()
         late = [pool.submit(ask_prompt, nodes[0], 1_000, seed=9_000 + i,
                             deadline_s=20.0) for i in range(12)]  # fmt: skip
-        fleet.publish([make_domain("out")])
+        fleet.publish([make_domain_entry("out")])
         out_s = time.monotonic()
-        time.sleep(NOTICE_S + 1.0)
+        time.sleep(MAX_PROPAGATION_S + 1.0)
         nodes[0].thaw()
         answers = [job.result() for job in jobs + late]
-    assert list_late_starts(fleet, list_domain(fleet), out_s + NOTICE_S) == []
+    assert (
+        list_late_starts(fleet, list_domain_engines(fleet), out_s + MAX_PROPAGATION_S)
+        == []
+    )
     assert find_broken(fleet, answers, deadline_s=20.0) == []
 
 
 def test_a_domain_taken_out_just_before_an_outage_stays_out(own_fleet):
-    """One node reads the change, then the log goes down; the others hear it from it.
+    """One node reads the change, the log goes down, and the others learn it from peers.
 
-    The accepted change must neither be missed nor revert during the outage.
+    The accepted change must neither be missed nor be reverted during the outage.
     """
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
     nodes[1].freeze()
     nodes[2].freeze()
-    fleet.publish([make_domain("out")])
+    fleet.publish([make_domain_entry("out")])
     first = next(iter(fleet.nodes))
     fleet.wait_for(lambda: fleet.status(first)["config_version"] == fleet.version)
     fleet.set_faults("platform", down=True)
     nodes[1].thaw()
     nodes[2].thaw()
     out_s = time.monotonic()
-    took_s = fleet.wait_for(lambda: min(versions(fleet)) == fleet.version)
+    took_s = fleet.wait_for(lambda: min(list_versions(fleet)) == fleet.version)
     with ThreadPoolExecutor(64) as pool:
         answers = [job.result() for job in keep_asking(fleet, pool, 5.0)]
-    assert took_s < NOTICE_S
-    assert list_late_starts(fleet, list_domain(fleet), out_s + NOTICE_S) == []
+    assert took_s < MAX_PROPAGATION_S
+    assert (
+        list_late_starts(fleet, list_domain_engines(fleet), out_s + MAX_PROPAGATION_S)
+        == []
+    )
     answered = [a for a in answers if a.outcome == "answered"]
     assert len(answered) >= 0.9 * len(answers)
     assert find_broken(fleet, answers, deadline_s=10.0) == []
 
 
 def test_hosts_replaced_during_an_outage_of_the_log_serve(own_fleet):
-    """The log is out for long; a host dies and its replacement knows nothing.
+    """A host dies during a long outage of the log, and a new one replaces it.
 
-    It learns the configuration and the view from its peers; a fleet that could not
-    take hosts in during an outage would shrink until it ends.
+    The new host must get the configuration and the view from its peers. Without that,
+    a fleet could not add hosts during an outage and would shrink until its end.
     """
     fleet = own_fleet
     fleet.set_faults("platform", down=True)
@@ -156,10 +166,10 @@
 
 
 def test_the_owner_killed_during_an_outage_of_the_log_is_stood_in_for(own_fleet):
-    """The log is out, and the node that owns the only cell dies.
+    """The log is down, and the node that owns the only cell dies.
 
-    No new view can be written then. Without a deputy each prompt would wait for the
-    dead owner until its whole time is up, at every node.
+    No new view can be written then. Without a deputy, each prompt at every node would
+    wait for the dead owner until its deadline.
     """
     fleet = own_fleet
     fleet.set_faults("platform", down=True)
@@ -184,8 +194,11 @@
     assert ask_prompt(node, 1_000, deadline_s=20.0).whole
 
 
-def test_a_node_that_hears_nobody_stops_offering_itself(own_fleet):
-    """A node hears neither the log nor any peer; it can't know what is in force."""
+def test_a_node_cut_off_from_log_and_peers_is_not_ready(own_fleet):
+    """A node that hears neither log nor peers can't know the configuration in force.
+
+    It must report that it is not ready and refuse prompts.
+    """
     fleet = own_fleet
     first, *others = fleet.nodes.values()
     for node in others:
@@ -202,21 +215,21 @@
         for node in others:
             node.thaw()
     fleet.wait_for(lambda: fleet.try_get(f"{first.url}/readyz") is not None)
-    assert took_s < NOTICE_S
+    assert took_s < MAX_PROPAGATION_S
     assert answer.outcome == "not_run"
     assert answer.status == 503
     assert "retry-after" in answer.headers
 
 
 def test_two_operators_publish_on_the_same_version(own_fleet):
-    """Two operators change one domain from the same version; one has to lose."""
+    """Two operators change one domain from the same version; only one may succeed."""
     fleet = own_fleet
     base = fleet.version
     ids = [
-        fleet.publish([make_domain(state)], author=author, base_version=base)
+        fleet.publish([make_domain_entry(state)], author=author, base_version=base)
         for state, author in (("out", "maeve"), ("returning", "sean"))
     ]
-    fleet.wait_for(lambda: min(versions(fleet)) == base + 1)
+    fleet.wait_for(lambda: min(list_versions(fleet)) == base + 1)
     time.sleep(0.5)
     for node in fleet.nodes.values():
         verdicts = [
@@ -228,17 +241,17 @@
 
 
 def test_a_stale_snapshot_and_retention_while_a_node_is_away(own_fleet):
-    """A node is frozen; the log drops records, and an old snapshot is appended.
+    """While a node is frozen, the log drops records and gets an outdated snapshot.
 
-    The frozen node and a new one must both come to the configuration in force, and
-    nobody may go back to the snapshot's.
+    The frozen node and a new one must both reach the configuration in force, and no
+    node may revert to the outdated snapshot's.
     """
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
     stale = make_snapshot_record(ConfigState())
     nodes[2].freeze()
-    fleet.publish([make_domain("out")])
-    fleet.publish([make_domain("out", "cork-c")])
+    fleet.publish([make_domain_entry("out")])
+    fleet.publish([make_domain_entry("out", "cork-c")])
     wanted = fleet.version
     fleet.wait_for(lambda: fleet.status("entry-1")["config_version"] == wanted)
     snapshot = fleet.http.get(f"{nodes[0].operator_url}/config").json()["snapshot"]
@@ -248,9 +261,9 @@
     )
     nodes[2].thaw()
     fleet.start_node("entry-4", "cork-a")
-    fleet.wait_for(lambda: versions(fleet) == [wanted] * 4, timeout_s=15.0)
+    fleet.wait_for(lambda: list_versions(fleet) == [wanted] * 4, timeout_s=15.0)
     time.sleep(1.0)
-    assert versions(fleet) == [wanted] * 4
+    assert list_versions(fleet) == [wanted] * 4
 
 
 def append(fleet, records):
@@ -260,15 +273,15 @@
 
 
 def test_a_broken_configuration_is_refused_everywhere(own_fleet):
-    """An operator publishes a change that no fleet could run."""
+    """Invalid changes on the log must not take effect at any node."""
     fleet = own_fleet
-    before = versions(fleet)
+    before = list_versions(fleet)
     record = make_change_record(
         "broken", author="x", base_version=fleet.version, changes=[]
     ) | {"changes": [["upstreams", "assistant-1", {"name": "assistant-1"}]]}
     append(fleet, [record, {"kind": "change"}, "nonsense"])
     time.sleep(1.5)
-    assert versions(fleet) == before
+    assert list_versions(fleet) == before
     node = next(iter(fleet.nodes.values()))
     verdict = fleet.http.get(f"{node.operator_url}/verdicts/broken").json()
     assert verdict["accepted"] is False
--- a/lycheetide/node/tests/test_leaving_callers.py
+++ b/lycheetide/node/tests/test_leaving_callers.py
@@ -1,4 +1,4 @@
-"""Work ends soon after its caller has left."""
+"""Work ends soon after its caller has disconnected."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -9,17 +9,17 @@
 from standins.callers import CLIENT, make_headers, make_prompt, sum_held
 from standins.promises import wait_memory_free
 
-ENDS_S = 1.5
-"""Work ends within half a second; the rest is for the processes of the test."""
+MAX_RELEASE_S = 1.5
+"""Work ends within 0.5 s; the rest is a margin for the processes of the test."""
 
 
-def set_all(fleet, **faults):
+def set_faults_on_all(fleet, **faults):
     for name in fleet.engines:
         fleet.set_faults(name, **faults)
 
 
-def ask_and_leave(node, *, is_streamed, after_s):
-    """Send a prompt and close the connection before anything was answered."""
+def ask_and_disconnect(node, *, is_streamed, after_s):
+    """Send a prompt and close the connection before any answer."""
     body = {
         "model": "assistant",
         "prompt": make_prompt(1_000),
@@ -36,18 +36,18 @@
 def test_a_prompt_ends_when_its_caller_leaves_before_the_first_token(
     own_fleet, is_streamed
 ):
-    """Engines are slow to begin, and impatient callers hang up.
+    """Engines are slow to start, and impatient callers disconnect.
 
-    Their prompts would hold memory and slots until their deadlines, and callers that
-    ask again would add to them.
+    If their prompts were not cancelled, they would hold memory and slots until their
+    deadlines, and callers that ask again would add to the load.
     """
     fleet = own_fleet
-    set_all(fleet, stall_at=0, stall_s=8.0)
+    set_faults_on_all(fleet, stall_at=0, stall_s=8.0)
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(6) as pool:
         jobs = [
             pool.submit(
-                ask_and_leave, nodes[i % 3], is_streamed=is_streamed, after_s=0.8
+                ask_and_disconnect, nodes[i % 3], is_streamed=is_streamed, after_s=0.8
             )
             for i in range(6)
         ]
@@ -56,6 +56,6 @@
         for job in jobs:
             job.result()
     assert held > 0
-    assert wait_memory_free(fleet, timeout_s=ENDS_S) < ENDS_S
+    assert wait_memory_free(fleet, timeout_s=MAX_RELEASE_S) < MAX_RELEASE_S
     active = [fleet.status(name)["active_requests"] for name in fleet.nodes]
     assert active == [0] * len(active)
--- a/lycheetide/node/tests/test_silence.py
+++ b/lycheetide/node/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""A silent upstream is left only where another one takes its request over."""
+"""A silent upstream is given up only when another one can take its request."""
 
 import hashlib
 import time
@@ -13,14 +13,14 @@
 
 SILENCE_S = 0.5
 STALL_S = 1.6
-"""Longer than an upstream may be silent where another one may take its request."""
+"""Longer than an upstream may be silent if another one can take its request."""
 DEADLINE_S = 20.0
-CALLER = "kestrel"
+CUSTOMER_NAME = "kestrel"
 
 
 @pytest.fixture
 def make_fleet():
-    """Return a function that starts a fleet whose nodes lose patience quickly."""
+    """Return a function that starts a fleet with a short silence limit."""
     fleets = []
 
     def make(**sizes):
@@ -36,15 +36,15 @@
 
 
 def forbid_retries(fleet):
-    """Leave the caller no retry in its budget."""
-    digest = hashlib.sha256(TOKENS[CALLER].encode()).hexdigest()
-    customer = Customer(CALLER, digest, retries_per_s=0.0, retry_burst=0.0)
-    fleet.publish([("customers", CALLER, customer)])
-    wait_in_force(fleet)
+    """Set the customer's retry budget to zero."""
+    digest = hashlib.sha256(TOKENS[CUSTOMER_NAME].encode()).hexdigest()
+    customer = Customer(CUSTOMER_NAME, digest, retries_per_s=0.0, retry_burst=0.0)
+    fleet.publish([("customers", CUSTOMER_NAME, customer)])
+    wait_config_in_force(fleet)
 
 
-def wait_in_force(fleet):
-    """Wait until the configuration that was published last is in force."""
+def wait_config_in_force(fleet):
+    """Wait until the configuration published last is in force at all nodes."""
     fleet.wait_for(
         lambda: all(
             fleet.status(name)["config_version"] >= fleet.version
@@ -61,15 +61,15 @@
     )
 
 
-def set_domain(fleet, name, state):
-    """Take a failure domain out, or in again."""
+def set_domain_state(fleet, name, state):
+    """Set the state of a failure domain, and wait until it is in force."""
     domain = FailureDomain(name, "munster", state)
     fleet.publish([("failure_domains", name, domain)])
-    wait_in_force(fleet)
+    wait_config_in_force(fleet)
 
 
 def wait_started(fleet):
-    """Wait until an engine has begun a prompt."""
+    """Wait until an engine has started a prompt."""
     fleet.wait_for(
         lambda: any(fleet.record(name)["starts"] for name in fleet.engines),
         what="a start",
@@ -80,9 +80,10 @@
 def test_a_stream_that_may_go_nowhere_else_outlasts_a_silence(
     make_fleet, engines, has_budget
 ):
-    """A stream is cut while its engine is only silent and would have gone on.
+    """A stream must not be cut while its engine is only silent and would go on.
 
-    Its attempts or its customer's retries are used up, or there is no other engine.
+    No other attempt is possible: the attempts or the customer's retries are used up, or
+    there is no other engine.
     """
     fleet = make_fleet(engines=engines, bookings=1)
     if not has_budget:
@@ -95,9 +96,10 @@
 
 
 def test_a_stream_leaves_an_engine_that_is_silent_for_good(make_fleet):
-    """One of two engines takes requests and never answers them.
+    """One of two engines accepts requests and stops answering them for good.
 
-    Callers wait in vain unless their requests move on to the other one.
+    Callers would wait until their deadlines unless their requests moved to the other
+    engine.
     """
     fleet = make_fleet(engines=2, bookings=1)
     fleet.set_faults("assistant-1", stall_at=3)
@@ -112,9 +114,10 @@
 def test_a_lookup_that_may_go_nowhere_else_outlasts_a_silence(
     make_fleet, services, has_budget
 ):
-    """A lookup fails although its service answers, only later than usual.
+    """A lookup must not fail while its service is only slower than usual.
 
-    Other replicas are as slow, or its customer's retries are used up, or there is none.
+    No other attempt helps: other replicas are as slow, the customer's retries are used
+    up, or there is no other replica.
     """
     fleet = make_fleet(engines=1, bookings=services)
     if not has_budget:
@@ -128,10 +131,10 @@
 
 
 def test_a_deposit_whose_service_is_slow_is_answered(make_fleet):
-    """A deposit's caller is told "unknown" while the service still works on it.
+    """A deposit's caller must not be told "unknown" while the service works on it.
 
-    Nothing else may run the deposit, so it gains nothing from not being waited for;
-    its answer is lost, and the key stays unknown for whoever asks again.
+    No other replica may run the deposit, so nothing is gained by giving up the call.
+    Its answer would be lost, and later requests with the key would get "unknown" too.
     """
     fleet = make_fleet(engines=1, bookings=2)
     for name in fleet.services:
@@ -144,9 +147,10 @@
 
 
 def test_a_deposit_that_nobody_waits_for_ends_in_silence(make_fleet):
-    """A service is hung for good, and the deposit's caller has given up.
+    """A service hangs for good, and the deposit's caller has given up.
 
-    Whoever asks again must be told "unknown" at once, and the node be able to stop.
+    A caller that asks again must be told "unknown" at once, and the node must be able
+    to stop.
     """
     fleet = make_fleet(engines=1, bookings=2)
     for name in fleet.services:
@@ -162,20 +166,21 @@
 
 
 def test_a_stream_that_has_begun_waits_for_an_engine_to_go_on_at(make_fleet):
-    """A stream's engine breaks off while no other one is open.
+    """A stream's engine breaks the connection while no other engine is open.
 
-    The next one is open long before the caller's deadline.
+    Another one opens long before the caller's deadline, and the stream must resume
+    there.
     """
     fleet = make_fleet(engines=2, bookings=1, decode_s=0.05)
     first_domain, spare_domain, _ = DOMAINS
-    set_domain(fleet, spare_domain, "out")
+    set_domain_state(fleet, spare_domain, "out")
     with ThreadPoolExecutor(1) as pool:
         asked = pool.submit(ask_node, fleet, max_tokens=60)
         wait_started(fleet)
-        set_domain(fleet, first_domain, "out")
+        set_domain_state(fleet, first_domain, "out")
         fleet.set_faults("assistant-1", cut_at=50)
         time.sleep(4.0)
-        set_domain(fleet, spare_domain, "in")
+        set_domain_state(fleet, spare_domain, "in")
         answer = asked.result()
     assert (answer.reason, answer.whole) == ("", True)
     assert fleet.record("assistant-2")["starts"]
@@ -183,14 +188,15 @@
 
 
 def test_a_stream_that_has_begun_waits_longer_than_its_class_lets_new_ones(make_fleet):
-    """A long stream breaks off, and its engine takes no work for a few seconds.
+    """A long stream breaks off, and its engine accepts no work for a few seconds.
 
-    Its class lets requests wait a second for a replica. The stream came longer ago.
+    Its class lets new requests wait one second for a replica. The stream arrived longer
+    ago than that, and must still wait for the engine.
     """
     fleet = make_fleet(engines=1, bookings=1, decode_s=0.05)
     hasty = RequestClass("quote", deadline_s=DEADLINE_S, max_wait_s=1.0)
     fleet.publish([("classes", "quote", hasty)])
-    wait_in_force(fleet)
+    wait_config_in_force(fleet)
     with ThreadPoolExecutor(1) as pool:
         asked = pool.submit(ask_node, fleet, max_tokens=60)
         wait_started(fleet)
@@ -203,9 +209,9 @@
 
 
 def test_a_stream_that_finds_no_engine_again_ends_at_its_deadline(make_fleet):
-    """A stream breaks off after operators have taken the only engine out.
+    """A stream breaks off after operators have taken out the only engine.
 
-    It may wait for another one, but its caller is told by the deadline, not later.
+    It may wait for another engine, but its caller must be answered by the deadline.
     """
     deadline_s = 5.0
     fleet = make_fleet(engines=1, bookings=1, decode_s=0.05)
@@ -215,7 +221,7 @@
             ask_prompt, node, 1_000, max_tokens=60, deadline_s=deadline_s
         )
         wait_started(fleet)
-        set_domain(fleet, DOMAINS[0], "out")
+        set_domain_state(fleet, DOMAINS[0], "out")
         fleet.set_faults("assistant-1", cut_at=50)
         answer = asked.result()
     assert (answer.outcome, answer.reason) == ("failed", "deadline")
--- a/lycheetide/node/tests/test_streams.py
+++ b/lycheetide/node/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Answers are whole and one's own, and every request ends in time."""
+"""Answers are complete, belong to their request, and end by the deadline."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -9,7 +9,7 @@
 from standins.promises import find_broken, wait_memory_free
 
 
-def set_all(fleet, **faults):
+def set_faults_on_all(fleet, **faults):
     for name, engine in fleet.engines.items():
         if engine.is_running():
             fleet.set_faults(name, **faults)
@@ -20,7 +20,7 @@
     return sum(row["counters"].get(name, 0) for row in rows if row)
 
 
-def ask_many(fleet, count, **fields):
+def ask_concurrently(fleet, count, **fields):
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(count) as pool:
         jobs = [
@@ -39,26 +39,27 @@
     ],
 )
 def test_crossed_duplicated_and_cut_chunks(fleet, fault, counter):
-    """Engines send another request's token, send one twice, or end too early.
+    """Engines send another request's token, send a token twice, or end too early.
 
-    A caller would read a rival's words, or an answer with a gap, and not notice.
+    Unchecked, a caller would read another customer's text, or an answer with a gap,
+    without noticing.
     """
     before = sum_counter(fleet, counter)
-    set_all(fleet, **{fault: 3})
-    answers = ask_many(fleet, 12, max_tokens=8, deadline_s=20.0)
-    set_all(fleet, cross_at=None, duplicate_at=None, cut_at=None)
+    set_faults_on_all(fleet, **{fault: 3})
+    answers = ask_concurrently(fleet, 12, max_tokens=8, deadline_s=20.0)
+    set_faults_on_all(fleet, cross_at=None, duplicate_at=None, cut_at=None)
     assert find_broken(fleet, answers, deadline_s=20.0) == []
     assert [len(answer.texts) for answer in answers] == [8] * 12
     assert sum_counter(fleet, counter) > before
 
 
 def test_a_stream_that_is_cut_goes_on_at_the_exact_token(fleet):
-    """Three engines end their answers after five tokens, once each."""
+    """Three engines each cut one answer after five tokens."""
     before = sum_counter(fleet, "retries.upstream_broke")
     for name in list(fleet.engines)[:3]:
         fleet.set_faults(name, cut_at=5)
-    answers = ask_many(fleet, 12, max_tokens=10)
-    set_all(fleet, cut_at=None)
+    answers = ask_concurrently(fleet, 12, max_tokens=10)
+    set_faults_on_all(fleet, cut_at=None)
     for answer in answers:
         prefix = answer.request_id[:6]
         assert answer.whole
@@ -67,7 +68,7 @@
 
 
 def test_callers_that_go_away_leave_no_memory_held(fleet):
-    """Callers hang up in the middle of long answers."""
+    """Callers disconnect in the middle of long answers."""
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(6) as pool:
         for i in range(6):
@@ -78,9 +79,9 @@
     wait_memory_free(fleet)
 
 
-def test_lost_releases_are_made_good(fleet):
-    """Calls that free memory get lost on their way to the engines."""
-    set_all(fleet, lose_releases=3)
+def test_memory_of_lost_releases_is_reclaimed(fleet):
+    """Calls that release memory are lost on their way to the engines."""
+    set_faults_on_all(fleet, lose_releases=3)
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(6) as pool:
         for i in range(6):
@@ -88,29 +89,29 @@
                 ask_prompt, nodes[i % 3], 2_000, max_tokens=2_000, deadline_s=0.6
             )
     wait_memory_free(fleet)
-    set_all(fleet, lose_releases=0)
+    set_faults_on_all(fleet, lose_releases=0)
 
 
-def test_silent_engines_end_in_time_and_at_once(own_fleet):
-    """All engines take requests and then say nothing."""
+def test_requests_to_silent_engines_fail_by_their_deadline(own_fleet):
+    """All engines accept requests and then send nothing."""
     fleet = own_fleet
-    set_all(fleet, silent=True)
-    answers = ask_many(fleet, 6, deadline_s=2.0)
-    set_all(fleet, silent=False)
+    set_faults_on_all(fleet, silent=True)
+    answers = ask_concurrently(fleet, 6, deadline_s=2.0)
+    set_faults_on_all(fleet, silent=False)
     assert {answer.outcome for answer in answers} == {"failed"}
     assert find_broken(fleet, answers, deadline_s=2.0) == []
     wait_memory_free(fleet)
 
 
 def test_a_frozen_engine_is_left_alone_and_its_requests_end(own_fleet):
-    """An engine's process is stopped with its connections open, and goes on later."""
+    """An engine's process is suspended with its connections open, and resumed later."""
     fleet = own_fleet
     engine = next(iter(fleet.engines.values()))
     engine.freeze()
     try:
-        answers = ask_many(fleet, 12, deadline_s=25.0)
+        answers = ask_concurrently(fleet, 12, deadline_s=25.0)
         time.sleep(2.5)
-        later = ask_many(fleet, 12, deadline_s=10.0)
+        later = ask_concurrently(fleet, 12, deadline_s=10.0)
     finally:
         engine.thaw()
     assert {answer.outcome for answer in later} == {"answered"}
@@ -119,8 +120,8 @@
     wait_memory_free(fleet)
 
 
-def test_a_killed_nodes_streams_are_freed_at_the_engines(own_fleet):
-    """A node is killed with streams in its hands; the engines keep their memory."""
+def test_memory_of_a_killed_nodes_streams_is_freed(own_fleet):
+    """A node is killed while it serves streams; engines still hold their memory."""
     fleet = own_fleet
     first = next(iter(fleet.nodes.values()))
     with ThreadPoolExecutor(8) as pool:
@@ -138,7 +139,7 @@
 
 
 def test_a_prompt_that_spans_engines_loses_nothing_when_one_is_killed(own_fleet):
-    """One of four engines dies while the prompt is read; the others hold parts."""
+    """One of four engines dies during the prefill; the others hold segments."""
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(2) as pool:
@@ -158,20 +159,20 @@
 
 
 def test_each_customers_retries_are_its_own(own_fleet):
-    """One house's requests fail under load; another's go on beside them.
+    """One customer's requests fail under load, while another's succeed.
 
-    If budgets were shared, the failing house's retries would use up the other's, and
-    it would be billed for them.
+    If retry budgets were shared, the failing customer's retries would use up the
+    other's budget, and the other would be billed for them.
     """
     fleet = own_fleet
     node = next(iter(fleet.nodes.values()))
-    set_all(fleet, cut_at=0)
+    set_faults_on_all(fleet, cut_at=0)
     for index in range(3):
         ask_prompt(node, 1_000, seed=index, customer="kestrel", deadline_s=10.0)
     for _ in range(40):
-        set_all(fleet, cut_at=0)
+        set_faults_on_all(fleet, cut_at=0)
         ask_prompt(node, 1_000, customer="kestrel", deadline_s=10.0)
-    set_all(fleet, cut_at=None)
+    set_faults_on_all(fleet, cut_at=None)
     clean = ask_prompt(node, 1_000, customer="parish")
     status = fleet.status(next(iter(fleet.nodes)))
     assert clean.whole
@@ -215,8 +216,8 @@
 def test_deadlines_that_fall_into_a_call_to_a_frozen_owner(own_fleet):
     """The owner of the engines is frozen while other nodes ask it for permits.
 
-    The deadline passes in the middle of a call between nodes. Callers must get their
-    typed answer at once, and the nodes must live on.
+    The deadline passes during a call between nodes. Callers must get a typed error at
+    once, and the nodes must keep running.
     """
     fleet = own_fleet
     owner = next(
@@ -236,7 +237,7 @@
     assert {(a.outcome, a.reason) for a in answers} == {("not_run", "deadline")}
     assert find_broken(fleet, answers, deadline_s=1.5) == []
     assert all(node.is_running() for node in fleet.nodes.values())
-    later = ask_many(fleet, 6, deadline_s=15.0)
+    later = ask_concurrently(fleet, 6, deadline_s=15.0)
     print([(answer.outcome, answer.body) for answer in later])
     print("frozen was", owner, *fleet.read_turns(), sep="\n")
     assert {answer.outcome for answer in later} == {"answered"}
--- a/lycheetide/node/tests/test_thaw.py
+++ b/lycheetide/node/tests/test_thaw.py
@@ -1,4 +1,4 @@
-"""A node that stood still serves its callers as soon as it hears the others again."""
+"""A stalled node serves its callers as soon as it hears from the others again."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -9,17 +9,17 @@
 from standins.promises import find_broken
 
 FROZEN_S = 3.0
-"""Longer than what a node knows holds, so it can't know the configuration after it."""
+"""Longer than a node's state stays fresh, so that it is stale when it resumes."""
 
 
 @pytest.mark.parametrize("place", range(3))
 def test_prompts_that_wait_at_a_frozen_node_are_served_when_it_goes_on(
     own_fleet, place
 ):
-    """A node's process stands still, and callers' prompts wait at its door.
+    """A node's process is frozen, and callers' prompts wait in its socket.
 
-    What it knows is too old when it goes on. It hears the others within a moment, and
-    prompts that have ten seconds left were refused.
+    Its state is stale when it resumes, but it hears from the others within a moment.
+    Prompts with ten seconds left used to be refused in that moment.
     """
     fleet = own_fleet
     node = list(fleet.nodes.values())[place]
