--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Small stand-ins for the outside systems; the product never imports them."""
+"""Simulators of the external systems, for tests, trials and the demonstration.
+
+The package ``lycheetide`` never imports them.
+"""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Start one stand-in: ``python -m standins engine|service|platform``."""
+"""Run one simulator: ``python -m standins engine|service|platform``."""
 
 import argparse
 import json
@@ -7,7 +7,7 @@
 
 
 def main():
-    """Read the arguments and serve."""
+    """Parse the command line and serve the chosen simulator."""
     parser = argparse.ArgumentParser(prog="standins")
     parser.add_argument("kind", choices=["engine", "service", "platform"])
     parser.add_argument("--address", required=True)
--- a/standins/_server.py
+++ b/standins/_server.py
@@ -1,4 +1,4 @@
-"""Serve one Starlette application on a loopback address."""
+"""Run a Starlette application with Hypercorn."""
 
 import anyio
 from hypercorn.asyncio import serve
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Ask nodes as a caller does, and keep what came back."""
+"""Send requests to nodes as a caller does and collect the results."""
 
 import json
 import time
@@ -7,8 +7,8 @@
 
 import httpx
 
-# One client for all calls, since making one takes longer than a call; no connection is
-# kept, since nodes are killed and stopped under them.
+# One client for all calls, since creating a client takes longer than a call.
+# Connections are not kept alive, since tests kill and suspend the nodes at their ends.
 CLIENT = httpx.Client(
     verify=False,
     trust_env=False,
@@ -17,25 +17,27 @@
 
 
 @dataclass(frozen=True)
-class Answer:
-    """What a caller got.
+class CallResult:
+    """Result of one call.
 
     Parameters
     ----------
     status : int
-        The HTTP status; 0 where there was no answer at all.
+        The HTTP status; 0 if no response was received.
     body : object
-        The decoded body; for streams, the error event or None.
+        The decoded body; for a stream, its error event, or None if it had none.
     request_id : str
-        As the node drew it.
+        The id that the node assigned to the request; empty if it is not known.
     texts : tuple of str
         The streamed tokens.
     whole : bool
-        Whether a stream ended with its end mark.
-    wanted : int
-        How many tokens were asked for.
-    first_s, total_s : float
-        When the first token and the end came.
+        Whether the stream ended with ``data: [DONE]``.
+    first_token_s, total_s : float
+        Seconds from the start of the call to its first token and to its end.
+    headers : dict
+        The response headers.
+    expected_tokens : int
+        The number of tokens that were requested.
     """
 
     status: int
@@ -43,14 +45,14 @@
     request_id: str = ""
     texts: tuple[str, ...] = ()
     whole: bool = False
-    first_s: float = 0.0
+    first_token_s: float = 0.0
     total_s: float = 0.0
     headers: dict = field(default_factory=dict)
-    wanted: int = 0
+    expected_tokens: int = 0
 
     @property
     def outcome(self):
-        """The typed outcome; "answered" where there is an answer."""
+        """The outcome that the error states; "answered" if the call succeeded."""
         error = (self.body or {}).get("error") if isinstance(self.body, dict) else None
         if error:
             return error.get("outcome", "unknown")
@@ -58,12 +60,12 @@
 
     @property
     def reason(self):
-        """Why there was no answer."""
+        """The reason that the error states; empty if the call succeeded."""
         return self.body["error"]["reason"] if self.outcome != "answered" else ""
 
 
 def make_headers(customer="kestrel", request_class="quote", deadline_s=None, key=None):
-    """Return a caller's headers."""
+    """Return the request headers of a caller."""
     headers = {"authorization": f"Bearer {customer}-token", "x-class": request_class}
     if deadline_s is not None:
         headers["x-deadline-ms"] = str(int(deadline_s * 1000))
@@ -73,7 +75,7 @@
 
 
 def make_prompt(tokens, *, seed=0):
-    """Return a prompt of so many tokens."""
+    """Return a prompt of ``tokens`` tokens, two of which hold the seed."""
     head = f"{seed:08d}"
     return head + "abcd" * max(0, tokens - 2)
 
@@ -82,16 +84,16 @@
     node, tokens, *, max_tokens=4, seed=0, prompt=None, model="assistant",
     timeout_s=60.0, **header_fields,
 ):  # fmt: skip
-    """Send a prompt and read the streamed answer."""
+    """Send a prompt and read the streamed response to its end."""
     body = {
         "model": model,
         "prompt": make_prompt(tokens, seed=seed) if prompt is None else prompt,
         "max_tokens": max_tokens,
         "stream": True,
     }
-    begun_s = time.monotonic()
+    start_s = time.monotonic()
     texts = []
-    first_s = 0.0
+    first_token_s = 0.0
     whole = False
     error = None
     try:
@@ -111,21 +113,23 @@
                     if "error" in event:
                         error = event
                         continue
-                    first_s = first_s or time.monotonic() - begun_s
+                    first_token_s = first_token_s or time.monotonic() - start_s
                     texts.append(event["choices"][0]["text"])
             status = response.status_code
     except httpx.HTTPError as failure:
         lost = {"error": {"outcome": "unknown", "reason": f"connection: {failure!r}"}}
-        return Answer(0, lost, texts=tuple(texts), total_s=time.monotonic() - begun_s)
-    return Answer(
-        status, error, request_id, tuple(texts), whole, first_s,
-        time.monotonic() - begun_s, headers, max_tokens,
+        return CallResult(
+            0, lost, texts=tuple(texts), total_s=time.monotonic() - start_s
+        )
+    return CallResult(
+        status, error, request_id, tuple(texts), whole, first_token_s,
+        time.monotonic() - start_s, headers, max_tokens,
     )  # fmt: skip
 
 
 def post(node, path, body, *, timeout_s=60.0, content=None, **header_fields):
-    """Send a small call and return its answer."""
-    begun_s = time.monotonic()
+    """Send a POST request and return its result."""
+    start_s = time.monotonic()
     sent = {"json": body} if content is None else {"content": content}
     try:
         response = CLIENT.post(
@@ -135,32 +139,32 @@
         decoded = response.json()
     except (httpx.HTTPError, ValueError) as failure:
         lost = {"error": {"outcome": "unknown", "reason": f"connection: {failure!r}"}}
-        return Answer(0, lost, total_s=time.monotonic() - begun_s)
-    return Answer(
+        return CallResult(0, lost, total_s=time.monotonic() - start_s)
+    return CallResult(
         response.status_code, decoded, response.headers.get("x-request-id", ""),
-        total_s=time.monotonic() - begun_s, headers=dict(response.headers),
+        total_s=time.monotonic() - start_s, headers=dict(response.headers),
     )  # fmt: skip
 
 
 def get_key(node, **header_fields):
-    """Fetch an idempotency key."""
+    """Request a new idempotency key from a node."""
     return post(node, "/v1/keys", {}, **header_fields).body["key"]
 
 
 def book(node, key, *, amount=100, **fields):
-    """Send a deposit with a key."""
+    """Send a deposit request with an idempotency key."""
     return post(
         node, "/v1/services/booking/deposit", {"amount": amount}, key=key, **fields
     )
 
 
 def count_runs(fleet, key):
-    """Count how often a key ran, over all booking replicas."""
+    """Count the executions of an idempotency key over all booking replicas."""
     return sum(fleet.record(name)["runs"].get(key, 0) for name in fleet.services)
 
 
 def list_started(fleet):
-    """Return the request ids that some upstream has started."""
+    """Return the ids of all requests that a running upstream has started."""
     started: set[str] = set()
     for name in (*fleet.engines, *fleet.services):
         if fleet.processes[name].is_running():
@@ -170,7 +174,7 @@
 
 
 def sum_held(fleet):
-    """Return the tokens of memory that all running engines hold."""
+    """Return the KV memory in use on all running engines, in tokens."""
     return sum(
         fleet.record(name)["kv_used_tokens"]
         for name, engine in fleet.engines.items()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small Forge Works fleet, driven through a domain's absence."""
+"""``make demo``: load on a small fleet while a failure domain is out of service."""
 
 import sys
 import time
@@ -13,33 +13,36 @@
 SIZES = ((1_000, "quote"), (10_000, "quote"), (100_000, "review"), (990_000, "archive"))
 DEADLINE_S = 40.0
 DOMAIN = "cork-b"
-NOTICE_S = 3.0
+SETTLE_S = 3.0
+"""Wait before requests that start in the domain taken out count as violations."""
 
 
-def ask_mixed(fleet, pool, count):
-    """Send prompts of all sizes through all nodes at once."""
+def submit_mixed_prompts(fleet, pool, count):
+    """Submit prompts of all sizes to all nodes; return each size with its future."""
     nodes = list(fleet.nodes.values())
-    jobs = []
+    pending = []
     for index in range(count):
         tokens, request_class = SIZES[0] if index % 6 else SIZES[1 + index // 6 % 3]
-        jobs.append(
+        pending.append(
             pool.submit(
                 ask_prompt, nodes[index % len(nodes)], tokens, seed=index,
                 request_class=request_class, deadline_s=DEADLINE_S, max_tokens=8,
                 customer=("kestrel", "parish")[index % 2],
             )
         )  # fmt: skip
-    return [(SIZES[0][0] if i % 6 else SIZES[1 + i // 6 % 3][0], job)
-            for i, job in enumerate(jobs)]  # fmt: skip
+    return [(SIZES[0][0] if i % 6 else SIZES[1 + i // 6 % 3][0], future)
+            for i, future in enumerate(pending)]  # fmt: skip
 
 
-def show_rows(rows):
-    """Print one line for each kind of request."""
-    print(f"{'asked':34}{'sent':>6}{'answered':>10}{'first token, worst s':>22}")
+def print_results(rows):
+    """Print a table with one line for each kind of request."""
+    print(f"{'asked':34}{'sent':>6}{'answered':>10}{'max first token, s':>22}")
     for name, answers in rows:
         answered = [a for a in answers if a.outcome == "answered"]
-        worst_s = max((a.first_s or a.total_s for a in answered), default=0.0)
-        print(f"{name:34}{len(answers):6}{len(answered):10}{worst_s:22.3f}")
+        max_latency_s = max(
+            (a.first_token_s or a.total_s for a in answered), default=0.0
+        )
+        print(f"{name:34}{len(answers):6}{len(answered):10}{max_latency_s:22.3f}")
 
 
 def count_starts(fleet, domain):
@@ -48,23 +51,26 @@
     return sum(len(fleet.record(name)["starts"]) for name in names)
 
 
-def change_domain(fleet, state):
-    """Publish a failure domain's state and wait until all nodes have it in force."""
+def set_domain_state(fleet, state):
+    """Publish a failure domain's state and wait until all nodes have applied it."""
     domain = FailureDomain(DOMAIN, "munster", state)
     fleet.publish([("failure_domains", DOMAIN, domain)])
 
-    def in_force():
+    def is_in_force():
         return all(fleet.status(n)["config_version"] >= fleet.version
                    for n in fleet.nodes)  # fmt: skip
 
-    return fleet.wait_for(in_force, what="the configuration everywhere")
+    return fleet.wait_for(is_in_force, what="the configuration on all nodes")
 
 
 def run(fleet, pool):
-    """Drive the fleet; return rows to show and lines about broken promises."""
+    """Run the load; return the rows of the table and a line for each violation."""
     broken = []
     nodes = list(fleet.nodes.values())
-    mixed = [(tokens, job.result()) for tokens, job in ask_mixed(fleet, pool, 48)]
+    mixed = [
+        (tokens, future.result())
+        for tokens, future in submit_mixed_prompts(fleet, pool, 48)
+    ]
     rows = [
         (f"prompts of {size} tokens", [a for tokens, a in mixed if tokens == size])
         for size, _ in SIZES
@@ -82,41 +88,45 @@
     if twice:
         broken.append(f"deposits that did not run exactly once: {len(twice)}")
     if [a.body for a in deposits] != [a.body for a in repeated]:
-        broken.append("a repeated deposit got another answer")
-    taken_s = change_domain(fleet, "out")
-    time.sleep(NOTICE_S)
+        broken.append("a repeated deposit got a different response")
+    out_s = set_domain_state(fleet, "out")
+    time.sleep(SETTLE_S)
     before = count_starts(fleet, DOMAIN)
-    during = [(t, job.result()) for t, job in ask_mixed(fleet, pool, 24)]
+    during = [
+        (t, future.result()) for t, future in submit_mixed_prompts(fleet, pool, 24)
+    ]
     leaked = count_starts(fleet, DOMAIN) - before
     rows.append((f"prompts while {DOMAIN} is out", [a for _, a in during]))
     if leaked:
         broken.append(f"requests started in {DOMAIN} while it was out: {leaked}")
-    back_s = change_domain(fleet, "in")
-    after = [(t, job.result()) for t, job in ask_mixed(fleet, pool, 24)]
+    in_s = set_domain_state(fleet, "in")
+    after = [
+        (t, future.result()) for t, future in submit_mixed_prompts(fleet, pool, 24)
+    ]
     rows.append((f"prompts after {DOMAIN} is back", [a for _, a in after]))
     answers = [a for _, a in mixed + during + after]
     unanswered = [a for a in answers if a.outcome != "answered"]
     broken += [f"unanswered: {a.outcome} {a.reason}" for a in unanswered]
     broken += find_broken(fleet, answers, deadline_s=DEADLINE_S)
     freed_s = wait_memory_free(fleet)
-    print(f"{DOMAIN} out in force after {taken_s:.2f} s, back after {back_s:.2f} s;")
-    print(f"all engines empty {freed_s:.2f} s after the last answer\n")
+    print(f"{DOMAIN} out on all nodes after {out_s:.2f} s, in after {in_s:.2f} s;")
+    print(f"all KV memory free {freed_s:.2f} s after the last response\n")
     return rows, broken
 
 
 def main():
-    """Run the demonstration; exit with 1 if a promise broke."""
-    begun_s = time.monotonic()
+    """Run the demonstration; exit with status 1 if a guarantee was violated."""
+    start_s = time.monotonic()
     with LocalFleet() as fleet, ThreadPoolExecutor(48) as pool:
         make_forge_works(fleet, engines=6, nodes=3, prefill_tokens_per_s=1_000_000.0)
         ready_s = fleet.wait_ready()
         print(f"3 nodes, 6 engines, 3 booking replicas ready after {ready_s:.2f} s")
         rows, broken = run(fleet, pool)
-    show_rows(rows)
+    print_results(rows)
     for line in broken:
-        print(f"BROKEN: {line}")
-    took_s = time.monotonic() - begun_s
-    print(f"\n{len(broken)} promises broken; {took_s:.1f} s in all")
+        print(f"VIOLATION: {line}")
+    elapsed_s = time.monotonic() - start_s
+    print(f"\n{len(broken)} violations; total time {elapsed_s:.1f} s")
     sys.exit(1 if broken else 0)
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,7 +1,8 @@
-"""A stand-in model engine: batching, prefill, decode, KV memory and cold start.
+"""Simulator of a model engine: batching, prefill, decode, KV memory and cold start.
 
-The engine forgets nothing by itself: a stream whose caller went away keeps its
-KV memory until somebody cancels it, as the real engines may.
+The engine does not free KV memory when a caller disconnects: the memory of an
+unfinished stream stays allocated until it is released explicitly, as it may be on
+real engines.
 """
 
 import itertools
@@ -17,13 +18,13 @@
 from starlette.responses import JSONResponse, StreamingResponse
 from starlette.routing import Route
 
-BYTES_PER_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 TICK_S = 0.005
 
 
 @dataclass(frozen=True)
 class EngineSettings:
-    """What one stand-in engine is like."""
+    """Options of one simulated engine."""
 
     name: str
     kv_capacity_tokens: int = 400_000
@@ -36,7 +37,7 @@
 
 @dataclass
 class Holding:
-    """KV memory held for one attempt."""
+    """An allocation of KV memory for one attempt."""
 
     holding_id: str
     request_id: str
@@ -47,7 +48,7 @@
 
 @dataclass
 class Prefill:
-    """A prompt, or part of one, that is still to be read."""
+    """A prompt, or a segment of one, that waits for its prefill or is in it."""
 
     priority: int
     order: int
@@ -56,12 +57,12 @@
 
 
 def count_tokens(text):
-    """Count the tokens of a prompt, four bytes each."""
-    return max(1, math.ceil(len(text) / BYTES_PER_TOKEN))
+    """Count the tokens of a prompt at four characters per token, rounded up."""
+    return max(1, math.ceil(len(text) / CHARACTERS_PER_TOKEN))
 
 
 class Engine:
-    """The state of one engine and what its HTTP interface does with it."""
+    """State of one engine, and the operations of its HTTP interface."""
 
     def __init__(self, settings):
         self.settings = settings
@@ -75,21 +76,21 @@
         self.faults = {}
         self.record = []
         self.in_flight = 0
-        self.life = 0
+        self.generation = 0
         self.worst_cold_in_flight = 0
         self.fallen_over = 0
         self.report = None
 
     def is_cold(self):
-        """Tell whether the engine bears only a few requests."""
+        """Return whether the engine is cold and can serve only a few requests."""
         return time.monotonic() < self.cold_until_s
 
     def kv_used_tokens(self):
-        """Sum the tokens of all that is held."""
+        """Return the KV memory in use, in tokens."""
         return sum(holding.tokens for holding in self.holdings.values())
 
     def make_report(self):
-        """Return the load report, renewed only every ``report_lag_s``."""
+        """Return the load report, which is at most ``report_lag_s`` old."""
         now_s = time.monotonic()
         report = self.report
         if report is None or now_s - report["at_s"] >= self.settings.report_lag_s:
@@ -107,7 +108,7 @@
         return self.report
 
     async def run_prefill(self):
-        """Spend the prefill rate on the first job by priority, for ever."""
+        """Process prefills forever, one at a time by priority and then arrival."""
         last_s = time.monotonic()
         while True:
             await anyio.sleep(TICK_S)
@@ -124,7 +125,10 @@
                     job.done.set()
 
     async def prefill(self, tokens, *, priority, prefix_key):
-        """Wait until ``tokens`` were read; a cached prefix is read at once."""
+        """Wait for the prefill of ``tokens`` tokens; return how many were cached.
+
+        Cached tokens take no time, but at least one token is always processed.
+        """
         cached = self.cached_prefixes.get(prefix_key, 0) if prefix_key else 0
         fresh = max(1, tokens - cached)
         job = Prefill(priority, next(self.order), fresh)
@@ -138,8 +142,8 @@
             self.cached_prefixes[prefix_key] = tokens
         return min(cached, tokens)
 
-    def admit(self):
-        """Count one more request; a cold engine under load falls over."""
+    def begin_request(self):
+        """Count a request in flight; record an overload above the cold limit."""
         self.in_flight += 1
         if not self.is_cold():
             return
@@ -147,8 +151,8 @@
         if self.in_flight > self.settings.cold_limit:
             self.fallen_over += 1
 
-    def hold(self, request_id, tokens):
-        """Take KV memory, or return None where there is not enough."""
+    def allocate(self, request_id, tokens):
+        """Allocate KV memory; return None if there is not enough."""
         if self.kv_used_tokens() + tokens > self.settings.kv_capacity_tokens:
             return None
         holding = Holding(uuid.uuid4().hex, request_id, tokens, time.monotonic())
@@ -156,29 +160,29 @@
         return holding
 
     def free(self, holding_id):
-        """Give KV memory back."""
+        """Free an allocation; its stream ends if it is still running."""
         holding = self.holdings.pop(holding_id, None)
         if holding is not None:
             holding.cancelled = True
 
     def turn_cold(self):
-        """Lose all work and memory and begin anew, without a word to anybody."""
+        """Restart cold: drop all requests, memory and caches, and notify nobody."""
         for holding_id in list(self.holdings):
             self.free(holding_id)
-        self.life += 1
+        self.generation += 1
         self.in_flight = 0
         self.boot_id = uuid.uuid4().hex
         self.cold_until_s = time.monotonic() + self.settings.cold_s
         self.cached_prefixes.clear()
         self.report = None
 
-    def leave(self, life):
-        """Count one request less, unless the engine has begun anew since."""
-        if life == self.life:
+    def leave(self, generation):
+        """Count a request as ended, unless the engine has restarted since it began."""
+        if generation == self.generation:
             self.in_flight -= 1
 
     async def stream(self, body, holding):
-        """Yield the answer's chunks, one a token, then the end mark."""
+        """Yield one event per token, then the end event with the usage."""
         attempt_id = body["attempt_id"]
         prompt_tokens = count_tokens(body["prompt"])
         first = body.get("resume_from", 0)
@@ -202,55 +206,59 @@
                 sent_id = attempt_id
                 if self.faults.get("cross_at") == seq:
                     self.faults.pop("cross_at")
-                    yield sse({"attempt_id": "other", "seq": seq, "text": "alien "})
+                    yield encode_event(
+                        {"attempt_id": "other", "seq": seq, "text": "alien "}
+                    )
                 await anyio.sleep(self.settings.decode_s)
                 text = f"{body['request_id'][:6]}.{seq} "
-                yield sse({"attempt_id": sent_id, "seq": seq, "text": text})
+                yield encode_event({"attempt_id": sent_id, "seq": seq, "text": text})
                 if self.faults.get("duplicate_at") == seq:
-                    yield sse({"attempt_id": sent_id, "seq": seq, "text": text})
+                    yield encode_event(
+                        {"attempt_id": sent_id, "seq": seq, "text": text}
+                    )
             usage = {"prompt_tokens": prompt_tokens, "cached_tokens": cached}
             end = {"attempt_id": attempt_id, "seq": body["max_tokens"], "end": True}
             finished = True
-            yield sse(end | {"usage": usage})
+            yield encode_event(end | {"usage": usage})
         finally:
             if finished:
                 self.free(holding.holding_id)
 
 
 class CountedResponse(StreamingResponse):
-    """An answer that counts as in flight until it has ended, however that happens.
+    """A response that counts as in flight until it ends, fails or is cancelled.
 
-    The stream itself can't count that: it never begins where the caller has left before
-    the answer's head is written, and nothing of it runs then.
+    The generator of the body can't do this: if the caller disconnects before the
+    response headers are written, the generator never starts and its cleanup never runs.
 
     Parameters
     ----------
     engine : Engine
-        Which counts it.
+        The engine whose requests in flight are counted.
     chunks : async iterator of bytes
-        The body.
+        The response body.
     """
 
     def __init__(self, engine, chunks, **options):
         super().__init__(chunks, **options)
         self.engine = engine
-        self.life = engine.life
+        self.generation = engine.generation
 
     async def __call__(self, scope, receive, send):
-        """Send the answer."""
+        """Send the response, then count the request as ended."""
         try:
             await super().__call__(scope, receive, send)
         finally:
-            self.engine.leave(self.life)
+            self.engine.leave(self.generation)
 
 
-def sse(value):
-    """Encode one server-sent event."""
+def encode_event(value):
+    """Encode a value as one server-sent event."""
     return f"data: {json.dumps(value)}\n\n".encode()
 
 
 def make_app(settings):
-    """Return the engine's HTTP application."""
+    """Return the HTTP application of a simulated engine."""
     engine = Engine(settings)
 
     async def load(request):
@@ -260,15 +268,15 @@
 
     async def complete(request):
         body = await request.json()
-        own_segment = body.get("holding_id")
-        if own_segment is not None:
-            holding = engine.holdings.get(own_segment)
+        reserved_id = body.get("holding_id")
+        if reserved_id is not None:
+            holding = engine.holdings.get(reserved_id)
         else:
             tokens = count_tokens(body["prompt"]) + body["max_tokens"]
-            holding = engine.hold(body["request_id"], tokens)
+            holding = engine.allocate(body["request_id"], tokens)
         if holding is None:
             return JSONResponse({"error": "memory is full", "started": False}, 503)
-        engine.admit()
+        engine.begin_request()
         engine.record.append(
             {"request_id": body["request_id"], "attempt_id": body["attempt_id"],
              "at_s": time.monotonic(), "cold": engine.is_cold()}
@@ -283,7 +291,7 @@
 
     async def reserve(request):
         body = await request.json()
-        holding = engine.hold(body["request_id"], body["tokens"])
+        holding = engine.allocate(body["request_id"], body["tokens"])
         if holding is None:
             return JSONResponse({"error": "memory is full", "started": False}, 503)
         return JSONResponse({"holding_id": holding.holding_id})
@@ -297,7 +305,7 @@
         )
         return JSONResponse({"handle": f"{settings.name}/{body['holding_id']}"})
 
-    async def held(request):
+    async def list_holdings(request):
         now_s = time.monotonic()
         rows = [
             {"holding_id": h.holding_id, "request_id": h.request_id,
@@ -330,7 +338,7 @@
              "kv_used_tokens": engine.kv_used_tokens(), "boot_id": engine.boot_id}
         )  # fmt: skip
 
-    async def lifespan(scope_app):
+    async def lifespan(app):
         async with anyio.create_task_group() as group:
             group.start_soon(engine.run_prefill)
             yield
@@ -345,7 +353,7 @@
             Route("/v1/completions", complete, methods=["POST"]),
             Route("/reserve", reserve, methods=["POST"]),
             Route("/segment", segment, methods=["POST"]),
-            Route("/held", held),
+            Route("/held", list_holdings),
             Route("/release", release, methods=["POST"]),
             Route("/faults", faults, methods=["POST"]),
             Route("/record", record),
--- a/standins/http.py
+++ b/standins/http.py
@@ -1,4 +1,7 @@
-"""A small HTTP/1.1 server whose answers are bytes, so that it can misbehave."""
+"""A small HTTP/1.1 server for tests that can also send malformed responses.
+
+Handlers can write raw bytes to the connection, or reset it.
+"""
 
 import socket
 import struct
@@ -10,14 +13,14 @@
 import h11
 
 LOOPBACK = "127.0.0.1"
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""SO_LINGER with no time: closing resets the connection."""
-PHRASES = {200: "OK", 410: "Gone", 421: "Misdirected", 500: "Error", 503: "Busy"}
+LINGER_RESET = struct.pack("ii", 1, 0)
+"""SO_LINGER with a timeout of 0: closing the socket resets the connection."""
+REASON_PHRASES = {200: "OK", 410: "Gone", 421: "Misdirected", 500: "Error", 503: "Busy"}
 
 
 @dataclass(frozen=True)
 class Request:
-    """One request as it was read."""
+    """A request as it was received."""
 
     method: str
     target: str
@@ -27,45 +30,48 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """An answer that is whole and has a length."""
+    """A complete response with a Content-Length."""
 
     status: int
     body: bytes
     headers: dict = field(default_factory=dict)
 
     def encode(self):
-        """Return its bytes."""
-        lines = [f"HTTP/1.1 {self.status} {PHRASES.get(self.status, 'Other')}"]
+        """Return the response as bytes."""
+        lines = [f"HTTP/1.1 {self.status} {REASON_PHRASES.get(self.status, 'Other')}"]
         lines += [f"{name}: {value}" for name, value in self.headers.items()]
         lines += [f"Content-Length: {len(self.body)}", "", ""]
         return "\r\n".join(lines).encode() + self.body
 
 
-KEEP = Answer(0, b"")
-"""Given back by a handler that wrote its answer itself and keeps the connection."""
+RESPONSE_SENT = Answer(0, b"")
+"""Returned by a handler that wrote its response itself; the connection stays open."""
 
 
 def reset(stream):
-    """Reset a connection at once.
+    """Reset a connection immediately.
 
-    Closing the stream would send an orderly end before the reset, and an answer without
-    a length that breaks off would look whole to whoever reads in between.
+    Closing the stream would send a FIN before the reset. A client that reads in between
+    would take a truncated response without a length for a complete one.
     """
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     try:
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     except OSError:
-        return  # It has ended already.
+        return  # The socket is already closed.
     stream._transport.abort()
 
 
 class Reset(Exception):
-    """The connection is to be reset."""
+    """Raised by a handler to have the connection reset."""
 
 
 @asynccontextmanager
 async def listen(serve):
-    """Yield the address of a loopback server whose connections a function serves."""
+    """Run a TCP server on the loopback address; yield its address.
+
+    ``serve`` is called with the stream of each connection.
+    """
     listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     async with anyio.create_task_group() as group:
@@ -76,13 +82,16 @@
 
 
 class HttpServer:
-    """Serves a coroutine function on a loopback address.
+    """HTTP server on the loopback address whose responses come from a handler.
 
     Parameters
     ----------
     handle : callable
-        Takes a request, and the stream if it takes two arguments; returns an answer,
-        or if it wrote one itself, ``KEEP``, or None to close the connection.
+        Coroutine function that gets a request, and the stream too if ``raw`` is true.
+        It returns a response, or ``RESPONSE_SENT`` if it wrote the response itself, or
+        None to close the connection.
+    raw : bool
+        Whether the handler also gets the stream of the connection.
     """
 
     def __init__(self, handle, *, raw=False):
@@ -93,12 +102,12 @@
 
     @asynccontextmanager
     async def run(self):
-        """Listen while the context is open."""
+        """Accept connections until the context exits."""
         async with listen(self._serve) as self.address:
             yield self
 
     async def _serve(self, stream):
-        """Serve one connection."""
+        """Serve the requests of one connection."""
         self.connections += 1
         parser = h11.Connection(h11.SERVER)
         try:
@@ -112,7 +121,7 @@
                     answer = await self.handle(request)
                 if answer is None:
                     return
-                if answer is not KEEP:
+                if answer is not RESPONSE_SENT:
                     await stream.send(answer.encode())
                 parser = h11.Connection(h11.SERVER)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
@@ -125,7 +134,7 @@
 
     @staticmethod
     async def _read(parser, stream):
-        """Return the next request, or None at the end of the connection."""
+        """Return the next request, or None if the connection has ended."""
         head: Any = None
         body = b""
         while True:
--- a/standins/large.py
+++ b/standins/large.py
@@ -1,4 +1,4 @@
-"""A relay that knows a large fleet, for tests and measurements without any network."""
+"""Relay state of a large fleet, for tests and benchmarks without a network."""
 
 import time
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
 from lycheetide.routes import Engine
 from lycheetide.settings import RelaySettings
 
-DOMAINS = 5
+DOMAIN_COUNT = 5
 SERVICE = "models"
 ENGINE = Engine(
     slots=5, kv_tokens=232_000, steps_per_pass=68, step_s=1.02e-3,
@@ -22,20 +22,20 @@
 
 
 def make_large_relay(nodes, replicas):
-    """Return a relay that has just heard all nodes and knows all replicas."""
+    """Return the state of a relay that knows all replicas and just heard all nodes."""
     settings = RelaySettings(
         "front-0", "munster", "zone-0", "", "", "10.0.0.0:7", "10.9.9.9:8"
     )
     relay = RelayState(settings, platform, "front-0.1.1")
     now_s = time.monotonic()
     entries = [
-        Entry(f"i-{n:010x}", SERVICE, f"10.1.0.{n}:80", f"zone-{n % DOMAINS}", 5)
+        Entry(f"i-{n:010x}", SERVICE, f"10.1.0.{n}:80", f"zone-{n % DOMAIN_COUNT}", 5)
         for n in range(replicas)
     ]
     changes = [Change(entry.id, place, entry) for place, entry in enumerate(entries, 1)]
     relay.replicas.list_all(changes, replicas + 1, now_s=now_s)
     for n in range(1, nodes):
-        domain = f"zone-{n % DOMAINS}"
+        domain = f"zone-{n % DOMAIN_COUNT}"
         hello = Hello("", f"front-{n}.3b9aca00.1f", f"10.0.0.{n}:7", domain, 1, 1, 0.0)
         relay.peers.hear(hello, now_s=now_s)
     table: Any = SimpleNamespace(find_shortest_target_s=lambda _: 0.4)
@@ -43,13 +43,13 @@
     return relay
 
 
-def tell_none(*, now_s):
-    """Return that a call was sent nowhere yet."""
+def list_no_exclusions(*, now_s):
+    """Return no replicas, as for a call that has not been sent yet."""
     return frozenset()
 
 
 def make_call(prompt_tokens, *, target_s=0.4, gap_s=0.25, cold_per_s=17.0):
-    """Return as much of a call as a choice reads."""
+    """Return an object with the attributes of a call that placement reads."""
     return SimpleNamespace(
         route=SimpleNamespace(
             regions=(), target_latency_s=target_s, target_gap_s=gap_s
@@ -58,7 +58,7 @@
         service=SimpleNamespace(
             name=SERVICE, cold_requests_per_s=cold_per_s, engine=ENGINE
         ),
-        list_closed=tell_none,
+        list_closed=list_no_exclusions,
         size=Size(prompt_tokens, 1_500),
         request=SimpleNamespace(received_s=time.monotonic()),
         helpers_refused=False,
--- a/standins/local.py
+++ b/standins/local.py
@@ -1,6 +1,6 @@
-"""Start stand-ins and nodes as separate processes on this machine, for trials.
+"""Run nodes and simulators as separate processes on this machine, for tests.
 
-Only processes that were started here are ever stopped, each by its own id.
+Only processes that were started by this module are stopped, each by its own process id.
 """
 
 import itertools
@@ -21,34 +21,35 @@
 from lycheetide.fleet import FleetBuilder, decode_entry, make_change_record
 from lycheetide.fleet._check import entry_name
 
-START_S = 20.0
-STOP_S = 15.0
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 15.0
 LOOPBACK = "127.0.0.1"
 ROOT = Path(__file__).resolve().parent.parent
 
 
 PORTS = itertools.cycle(range(12_000, 32_000))
-"""Below the ports that the system gives to outgoing connections."""
+"""Below the range from which the system assigns ports to outgoing connections."""
 
 for _ in range(os.getpid() * 97 % 20_000):
     next(PORTS)
 
-PORTS_TRIED = 20_000
-CLAIMS_KEPT = 300
-"""Ports that are claimed for the processes of one test; more than any needs."""
-claims: deque[socket.socket] = deque()
+MAX_PORTS_TRIED = 20_000
+MAX_CLAIMS_HELD = 300
+"""Claims held at a time; more than the processes of any one test need."""
+held_claims: deque[socket.socket] = deque()
 
 
 def find_port():
-    """Return a port of the loopback address that is free and was not given lately.
-
-    A port that the system picks is in the range of outgoing connections, one of which
-    may take it before the process that it is meant for has started. So may another test
-    process that looks for a port at the same moment; on a busy machine the process
-    that it is meant for takes seconds to bind it. A claim under the port's name keeps
-    it for this process until many others have been given out.
+    """Return a free port of the loopback address that was not returned recently.
+
+    A port assigned by the system is in the range of outgoing connections, one of which
+    may take it before the process that is to listen on it has started. Another test
+    process that searches at the same moment may take it too, since on a busy machine it
+    takes seconds until the new process binds the port. Therefore each port is claimed
+    with a socket that is named after it, and the claim is held until
+    ``MAX_CLAIMS_HELD`` further ports have been returned.
     """
-    for port in itertools.islice(PORTS, PORTS_TRIED):
+    for port in itertools.islice(PORTS, MAX_PORTS_TRIED):
         claim = claim_port(port)
         if claim is None:
             continue
@@ -58,18 +59,19 @@
             except OSError:
                 claim.close()
                 continue
-        claims.append(claim)
-        if len(claims) > CLAIMS_KEPT:
-            claims.popleft().close()
+        held_claims.append(claim)
+        if len(held_claims) > MAX_CLAIMS_HELD:
+            held_claims.popleft().close()
         return port
-    raise OSError(f"no port was free of {PORTS_TRIED} that were tried")
+    raise OSError(f"found no free port in {MAX_PORTS_TRIED} tries")
 
 
 def claim_port(port):
-    """Return a socket that holds a port's name, or None where another process does."""
+    """Return a socket that claims a port, or None if another process has claimed it."""
     claim = socket.socket(socket.AF_UNIX)
     try:
-        # A name that begins with a zero byte is in no folder, and ends with its socket.
+        # A name that begins with a zero byte is in the abstract namespace: it needs no
+        # file, and the system removes it when the socket is closed.
         claim.bind(f"\0lycheetide-port-{port}")
     except OSError:
         claim.close()
@@ -78,32 +80,33 @@
 
 
 def takes_hangups(pid):
-    """Tell whether a hangup doesn't end a process, by the system's own record.
+    """Return whether a process ignores or handles SIGHUP, according to ``/proc``.
 
-    While an interpreter starts, before it runs any code of ours, it ends it.
+    While the interpreter starts, before it runs any code of this project, SIGHUP ends
+    the process.
     """
     return _handles_hangups(pid, "SigIgn") or catches_hangups(pid)
 
 
 def catches_hangups(pid):
-    """Tell whether a process listens for hangups.
+    """Return whether a process has a handler for SIGHUP.
 
-    A node ignores them while it loads its libraries, and so does a process whose
-    parent does; it listens once it has read its settings.
+    A node ignores SIGHUP while it imports its libraries, and so does a process whose
+    parent ignores it. A node installs its handler once it has read its settings.
     """
     return _handles_hangups(pid, "SigCgt")
 
 
-def _handles_hangups(pid, way):
-    """Tell whether hangups are in one of the signal masks of a process."""
+def _handles_hangups(pid, mask):
+    """Return whether SIGHUP is set in one of the signal masks of a process."""
     with open(f"/proc/{pid}/status", encoding="ascii") as file:
         rows = dict(line.split(":", 1) for line in file)
-    return bool(int(rows[way], 16) & 1 << (signal.SIGHUP - 1))
+    return bool(int(rows[mask], 16) & 1 << (signal.SIGHUP - 1))
 
 
 @dataclass
 class Process:
-    """One process that was started here."""
+    """A process that was started by this module."""
 
     name: str
     popen: subprocess.Popen
@@ -113,36 +116,36 @@
     failure_domain: str = ""
 
     def signal(self, number):
-        """Send a signal to this process."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self):
-        """Kill it at once."""
+        """Kill the process with SIGKILL and wait for its end."""
         self.signal(signal.SIGKILL)
-        self.popen.wait(STOP_S)
+        self.popen.wait(STOP_TIMEOUT_S)
 
     def freeze(self):
-        """Stop it without ending it; its connections stay open."""
+        """Suspend the process with SIGSTOP; its connections stay open."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let it go on."""
+        """Resume the process after ``freeze``."""
         self.signal(signal.SIGCONT)
 
     def is_running(self):
-        """Tell whether it has not ended."""
+        """Return whether the process has not exited."""
         return self.popen.poll() is None
 
 
 class LocalFleet:
-    """Processes on the loopback address; use as a context manager.
+    """Nodes and simulators on the loopback address; use as a context manager.
 
     Parameters
     ----------
     region : str
         The region of all nodes.
     settings : dict of str to dict
-        INI sections that each node gets besides its own.
+        INI sections that are merged into the settings of each node.
     """
 
     def __init__(self, *, region="munster", settings=None):
@@ -162,7 +165,7 @@
         return self
 
     def __exit__(self, *_):
-        """Stop every process that was started here."""
+        """Kill all processes of this fleet that still run."""
         for process in self.processes.values():
             if process.is_running():
                 process.thaw()
@@ -188,25 +191,25 @@
         return self._start(name, arguments, url=f"http://{address}")
 
     def start_platform(self, **options):
-        """Start the log and the host list."""
+        """Start the platform simulator, which serves the log and the host list."""
         self.platform = self._start_standin("platform", "platform", options)
         self.wait_url(f"{self.platform.url}/record")
         return self.platform
 
     def start_engine(self, name, **options):
-        """Start an engine."""
+        """Start a simulated engine."""
         engine = self._start_standin("engine", name, {"name": name} | options)
         self.engines[name] = engine
         return engine
 
     def start_service(self, name, **options):
-        """Start a replica of a plain service."""
+        """Start a simulated replica of a service that is not a model."""
         service = self._start_standin("service", name, {"name": name} | options)
         self.services[name] = service
         return service
 
     def start_node(self, name, failure_domain):
-        """Start a node, again under the same name if there was one."""
+        """Start a node; it replaces a node of the same name."""
         addresses = {
             key: f"{LOOPBACK}:{find_port()}"
             for key in ("caller_address", "peer_address", "operator_address")
@@ -242,7 +245,10 @@
         return node
 
     def list_hosts(self, *, leaving=()):
-        """Tell the platform's list which hosts there are."""
+        """Write all nodes to the host list of the platform.
+
+        Nodes named in ``leaving`` are listed in the state "leaving".
+        """
         rows = [
             {
                 "name": name,
@@ -253,42 +259,42 @@
         ]
         self.http.post(f"{self.platform.url}/hosts", json={"hosts": rows})
 
-    def wait_url(self, url, *, timeout_s=START_S):
-        """Wait until a URL answers with success."""
+    def wait_url(self, url, *, timeout_s=START_TIMEOUT_S):
+        """Wait until a GET of the URL succeeds."""
         self.wait_for(lambda: self.try_get(url) is not None, timeout_s=timeout_s)
 
     def try_get(self, url, timeout_s=2.0):
-        """Return a URL's decoded answer, or None."""
+        """Return the decoded JSON body of a GET, or None if the request fails."""
         try:
             response = self.http.get(url, timeout=timeout_s)
             return response.json() if response.is_success else None
         except (httpx.HTTPError, ValueError):
             return None
 
-    def wait_for(self, is_true, *, timeout_s=START_S, what="the condition"):
-        """Wait until a condition holds; return how long it took in seconds."""
-        begun_s = time.monotonic()
-        while time.monotonic() - begun_s < timeout_s:
-            if is_true():
-                return time.monotonic() - begun_s
+    def wait_for(self, condition, *, timeout_s=START_TIMEOUT_S, what="the condition"):
+        """Wait until a condition holds; return the seconds that it took."""
+        start_s = time.monotonic()
+        while time.monotonic() - start_s < timeout_s:
+            if condition():
+                return time.monotonic() - start_s
             time.sleep(0.02)
-        raise TimeoutError(f"{what} did not come about in {timeout_s} s")
+        raise TimeoutError(f"waiting for {what} timed out after {timeout_s} s")
 
     def status(self, name):
-        """Return what a node says of itself, or None."""
+        """Return the operator status of a node, or None if it can't be read."""
         return self.try_get(f"{self.nodes[name].operator_url}/status")
 
-    def read_turns(self, *, most=12):
-        """Yield each node's last log lines on its state and its standing still."""
+    def read_turns(self, *, max_lines=12):
+        """Yield the last log lines of each node on state changes and stalls."""
         for name in self.nodes:
             lines = (self.folder / f"{name}.log").read_text().splitlines()
-            turns = [
+            state_lines = [
                 line for line in lines if "state changed" in line or "stood" in line
             ]
-            yield from turns[-most:]
+            yield from state_lines[-max_lines:]
 
-    def wait_ready(self, *, timeout_s=START_S, may_have_ended=False):
-        """Wait until all nodes are ready, in one view, and all replicas are seen."""
+    def wait_ready(self, *, timeout_s=START_TIMEOUT_S, may_have_ended=False):
+        """Wait until all running nodes serve, know each other and see all replicas."""
 
         def is_ready():
             ended = [n for n, p in self.processes.items() if not p.is_running()]
@@ -313,15 +319,15 @@
         return self.wait_for(is_ready, timeout_s=timeout_s, what="readiness")
 
     def record(self, name):
-        """Return a stand-in's own record."""
+        """Return what a simulator has recorded."""
         return self.http.get(f"{self.processes[name].url}/record").json()
 
     def set_faults(self, name, **faults):
-        """Make a stand-in misbehave."""
+        """Inject faults into a simulator."""
         self.http.post(f"{self.processes[name].url}/faults", json=faults)
 
     def publish(self, changes, *, author="operator", base_version=None, record_id=None):
-        """Append a change of the configuration to the log; return its id."""
+        """Append a configuration change to the log; return the id of its record."""
         record_id = record_id or os.urandom(6).hex()
         base = self.version if base_version is None else base_version
         record = make_change_record(
@@ -334,12 +340,12 @@
         return record_id
 
     def publish_document(self, document):
-        """Publish a whole configuration."""
+        """Publish all entries of a configuration document as one change."""
         return self.publish(list(list_entries(document)))
 
 
 def list_entries(document):
-    """Yield a document's entries as changes."""
+    """Yield a change for each entry of a configuration document."""
     for section, rows in document.items():
         for row in rows:
             yield section, entry_name(section, row), decode_entry(section, row)
@@ -350,7 +356,7 @@
 
 
 def make_forge_works(fleet, *, engines=6, nodes=3, bookings=3, **engine_options):
-    """Start a small Forge Works fleet and publish its configuration."""
+    """Start the small fleet of the example "Forge Works"; publish its configuration."""
     fleet.start_platform()
     builder = FleetBuilder(replicas_per_cell=engine_options.pop("per_cell", 8))
     builder.add_model("assistant")
@@ -383,7 +389,7 @@
 
 
 def add_classes_and_customers(builder):
-    """Add the Forge Works' classes, customers and operations."""
+    """Add the classes, customers and operations of the example fleet."""
     builder.add_class("quote", priority=0, deadline_s=20.0, aging_s=10.0)
     builder.add_class("review", priority=1, deadline_s=60.0, aging_s=20.0)
     builder.add_class("archive", priority=2, deadline_s=120.0, aging_s=30.0)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in platform: the log service and the host list."""
+"""Simulator of the platform: its log service and its host list."""
 
 import time
 from collections import defaultdict
@@ -8,11 +8,11 @@
 from starlette.responses import JSONResponse
 from starlette.routing import Route
 
-LONGEST_WAIT_S = 10.0
+MAX_WAIT_S = 10.0
 
 
 class Log:
-    """Append-only streams; old records can be dropped."""
+    """Append-only streams of records that can be truncated at their start."""
 
     def __init__(self):
         self.records = defaultdict(list)
@@ -21,7 +21,7 @@
         self.appends = 0
 
     def append(self, stream, values):
-        """Append all values at once and return the first one's offset."""
+        """Append all values atomically; return the offset of the first one."""
         offset = self.next_offset(stream)
         self.records[stream].extend(values)
         self.appends += 1
@@ -30,11 +30,11 @@
         return offset
 
     def next_offset(self, stream):
-        """Return the offset that the next record gets."""
+        """Return the offset of the next record."""
         return self.first_retained[stream] + len(self.records[stream])
 
     def read(self, stream, offset, limit):
-        """Return up to ``limit`` records from ``offset`` on."""
+        """Return up to ``limit`` records, starting at ``offset``."""
         first = self.first_retained[stream]
         start = max(offset, first)
         values = self.records[stream][start - first : start - first + limit]
@@ -43,8 +43,8 @@
             for index, value in enumerate(values)
         ]
 
-    def retain(self, stream, offset):
-        """Drop all records below ``offset``."""
+    def truncate(self, stream, offset):
+        """Remove all records below ``offset``."""
         first = self.first_retained[stream]
         drop = max(0, min(offset, self.next_offset(stream)) - first)
         del self.records[stream][:drop]
@@ -52,17 +52,20 @@
 
 
 def make_app(*, host_list_lag_s=1.0):
-    """Return the platform's application."""
+    """Return the HTTP application of the simulated platform.
+
+    Changes of the host list are visible only after ``host_list_lag_s``.
+    """
     log = Log()
     faults = {}
     host_changes = []
 
-    async def misbehave():
+    async def apply_faults():
         await anyio.sleep(faults.get("slow_s", 0.0))
         return JSONResponse({"error": "down"}, 503) if faults.get("down") else None
 
     async def append(request):
-        refused = await misbehave()
+        refused = await apply_faults()
         if refused is not None:
             return refused
         stream = request.path_params["stream"]
@@ -76,13 +79,13 @@
         )
 
     async def read(request):
-        refused = await misbehave()
+        refused = await apply_faults()
         if refused is not None:
             return refused
         stream = request.path_params["stream"]
         query = request.query_params
         offset = int(query.get("from", 0))
-        wait_s = min(float(query.get("wait_s", 0)), LONGEST_WAIT_S)
+        wait_s = min(float(query.get("wait_s", 0)), MAX_WAIT_S)
         with anyio.move_on_after(wait_s):
             while log.next_offset(stream) <= offset:
                 await log.changed.wait()
@@ -94,9 +97,9 @@
              "records": log.read(stream, offset, int(query.get("limit", 1000)))}
         )  # fmt: skip
 
-    async def retain(request):
+    async def truncate(request):
         body = await request.json()
-        log.retain(body["stream"], body["from"])
+        log.truncate(body["stream"], body["from"])
         return JSONResponse({})
 
     async def hosts(request):
@@ -126,7 +129,7 @@
         routes=[
             Route("/streams/{stream}/records", append, methods=["POST"]),
             Route("/streams/{stream}/records", read),
-            Route("/retain", retain, methods=["POST"]),
+            Route("/retain", truncate, methods=["POST"]),
             Route("/hosts", hosts),
             Route("/hosts", set_hosts, methods=["POST"]),
             Route("/faults", set_faults, methods=["POST"]),
--- a/standins/promises.py
+++ b/standins/promises.py
@@ -1,13 +1,13 @@
-"""Check what must always hold against the upstreams' own records."""
+"""Check the guarantees of a fleet against what its upstreams have recorded."""
 
 from standins.callers import list_started, sum_held
 
-MEMORY_FREE_S = 12.0
-LATE_S = 1.5
+MEMORY_FREE_TIMEOUT_S = 12.0
+DEADLINE_TOLERANCE_S = 1.5
 
 
 def find_false_not_run(fleet, answers):
-    """Return the requests that were told "not run" but that an upstream has started."""
+    """Return the results "not_run" whose request an upstream has started."""
     started = list_started(fleet)
     return [
         answer
@@ -17,7 +17,7 @@
 
 
 def find_foreign_tokens(answers):
-    """Return the streamed answers that hold tokens of another request, or a gap."""
+    """Return the streams with a token of another request, or with a missing token."""
     wrong = []
     for answer in answers:
         prefix = answer.request_id[:6]
@@ -27,35 +27,36 @@
     return wrong
 
 
-def find_cut(answers):
-    """Return the streams that are short without a typed error that says so."""
+def find_truncated(answers):
+    """Return the streams that are incomplete although they reported no error."""
     return [
         a
         for a in answers
-        if a.outcome == "answered" and (not a.whole or len(a.texts) != a.wanted)
+        if a.outcome == "answered"
+        and (not a.whole or len(a.texts) != a.expected_tokens)
     ]
 
 
 def find_late(answers, deadline_s):
-    """Return the answers that came after their deadline."""
-    return [a for a in answers if a.total_s > deadline_s + LATE_S]
+    """Return the results that ended after their deadline and the tolerance."""
+    return [a for a in answers if a.total_s > deadline_s + DEADLINE_TOLERANCE_S]
 
 
-def wait_memory_free(fleet, *, timeout_s=MEMORY_FREE_S):
-    """Wait until all engines hold nothing; return the seconds that it took."""
+def wait_memory_free(fleet, *, timeout_s=MEMORY_FREE_TIMEOUT_S):
+    """Wait until no engine has KV memory in use; return the seconds that it took."""
     return fleet.wait_for(
         lambda: sum_held(fleet) == 0, timeout_s=timeout_s, what="empty engines"
     )
 
 
 def find_broken(fleet, answers, *, deadline_s):
-    """Return a line for each promise that some answer breaks."""
+    """Return a line for each guarantee that some result violates."""
     broken = []
     for name, found in (
         ("false 'not run'", find_false_not_run(fleet, answers)),
-        ("another request's tokens or a gap", find_foreign_tokens(answers)),
-        ("a stream cut without an error", find_cut(answers)),
-        ("an end after the deadline", find_late(answers, deadline_s)),
+        ("token of another request, or missing token", find_foreign_tokens(answers)),
+        ("stream truncated without an error", find_truncated(answers)),
+        ("end after the deadline", find_late(answers, deadline_s)),
     ):
         if found:
             broken.append(f"{name}: {len(found)} of {len(answers)}, {found[0]}")
--- a/standins/relayed.py
+++ b/standins/relayed.py
@@ -1,4 +1,4 @@
-"""Relays, replicas and a store in one loop, for tests without any other process."""
+"""Relays, replicas and a store in one event loop, for tests in a single process."""
 
 import time
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -18,7 +18,7 @@
 HOST = "works.example"
 KEY = "key-of-hule"
 CUSTOMER = "hule"
-WAIT_S = 5.0
+WAIT_TIMEOUT_S = 5.0
 
 ENGINE = {
     "slots": 8, "kvCapacityTokens": 100_000, "stride": 43, "step_ms": 1.0,
@@ -28,7 +28,7 @@
 
 
 def make_config(version=1, **changes):
-    """Return a configuration as operators write it."""
+    """Return a valid configuration; ``changes`` replace its top-level fields."""
 
     def route(path, kind, **fields):
         return {
@@ -56,12 +56,13 @@
 
 
 def make_patient_config(attempts=2):
-    """Return a configuration whose requests outlast two long pauses.
+    """Return a configuration with timeouts of 10 s, which outlast two long pauses.
 
     Parameters
     ----------
     attempts : int
-        Replicas that a request may be sent to, where it may be repeated at all.
+        Maximum number of replicas that a request is sent to, on routes whose requests
+        may be repeated.
     """
     config = make_config()
     for route in config["routes"]:
@@ -72,12 +73,16 @@
 
 
 class Relayed:
-    """A small deployment; use as an asynchronous context.
+    """A small deployment; use as an asynchronous context manager.
 
     Parameters
     ----------
     replicas, relays : int
-        How many.
+        Numbers of replicas and relays.
+    config : dict, optional
+        The configuration; that of `make_config` by default.
+    stop_notice_s : float
+        The setting of that name of each relay.
     """
 
     def __init__(self, *, replicas=2, relays=1, config=None, stop_notice_s=0.0):
@@ -90,11 +95,11 @@
         self.config = config or make_config()
         self.http: Any = None
         self.running = 0
-        self._attempts = 0
+        self._attempt_count = 0
         self._stack = AsyncExitStack()
 
     async def __aenter__(self):
-        """Start all and wait until the relays know the replicas."""
+        """Start all parts and wait until the relays have discovered the replicas."""
         await self._stack.enter_async_context(self.store.server.run())
         for replica in self.replicas:
             await self._stack.enter_async_context(replica.server.run())
@@ -109,7 +114,7 @@
         return self
 
     async def __aexit__(self, *error):
-        """Stop all."""
+        """Stop all relays and servers."""
         for stop in self.stops:
             stop.set()
         with anyio.CancelScope(shield=True):
@@ -118,7 +123,10 @@
         return await self._stack.__aexit__(*error)
 
     async def start_relay(self, *, wait=True, adapter=platform):
-        """Start one more relay."""
+        """Start another relay; return its state.
+
+        With ``wait``, return once it has a configuration and has discovered replicas.
+        """
         index = len(self.stops)
         stop = anyio.Event()
         self.stops.append(stop)
@@ -159,8 +167,8 @@
     async def wait_for_listener(self, address):
         """Wait until a server accepts connections."""
         host, _, port = address.rpartition(":")
-        begun_s = time.monotonic()
-        while time.monotonic() - begun_s < WAIT_S:
+        start_s = time.monotonic()
+        while time.monotonic() - start_s < WAIT_TIMEOUT_S:
             try:
                 stream = await anyio.connect_tcp(host, int(port))
             except OSError:
@@ -168,23 +176,23 @@
                 continue
             await stream.aclose()
             return
-        raise TimeoutError(f"nobody listens at {address}")
+        raise TimeoutError(f"no server accepts connections at {address}")
 
-    async def wait_for(self, condition, *, timeout_s=WAIT_S):
-        """Wait until a condition holds; return how long it took."""
-        begun_s = time.monotonic()
+    async def wait_for(self, condition, *, timeout_s=WAIT_TIMEOUT_S):
+        """Wait until a condition holds; return the seconds that it took."""
+        start_s = time.monotonic()
         while not condition():
-            if time.monotonic() - begun_s > timeout_s:
-                raise TimeoutError("the condition never held")
+            if time.monotonic() - start_s > timeout_s:
+                raise TimeoutError("the condition did not hold in time")
             await anyio.sleep(0.01)
-        return time.monotonic() - begun_s
+        return time.monotonic() - start_s
 
     def make_headers(self, *, tokens="1000,200", deadline_ms=3_000, key=KEY, **more):
-        """Return a caller's headers with a new attempt id."""
-        self._attempts += 1
+        """Return the request headers of a caller, with a new attempt id."""
+        self._attempt_count += 1
         headers = {
             "host": HOST,
-            "lycheetide-attempt-id": f"{self._attempts:016x}",
+            "lycheetide-attempt-id": f"{self._attempt_count:016x}",
             "lycheetide-deadline-ms": str(deadline_ms),
             "lycheetide-credential": key,
         }
@@ -193,29 +201,29 @@
         return headers | more
 
     def url(self, path, relay=0):
-        """Return a caller's URL at one relay."""
+        """Return the URL of a path at one relay."""
         return f"http://{self.relays[relay].settings.caller_address}{path}"
 
     async def look(self, *, relay=0, path="/look/a", **fields):
-        """Send a lookup."""
+        """Send a lookup, which is idempotent."""
         headers = self.make_headers(tokens="", **fields)
         return await self.http.get(self.url(path, relay), headers=headers)
 
     async def book(self, *, relay=0, **fields):
-        """Send a booking."""
+        """Send a booking, which is not idempotent."""
         headers = self.make_headers(tokens="", **fields)
         url = self.url("/book/b", relay)
         return await self.http.post(url, headers=headers, content=b"a deposit")
 
     async def stream(self, *, relay=0, path="/stream/s", **fields):
-        """Send a prompt and return the whole answer."""
+        """Send a prompt and return the complete response."""
         headers = self.make_headers(**fields)
         url = self.url(path, relay)
         return await self.http.post(url, headers=headers, content=b"a prompt")
 
     @asynccontextmanager
     async def open_stream(self, *, relay=0, path="/stream/s", **fields):
-        """Send a prompt and yield the answer while it comes."""
+        """Send a prompt and yield the response as soon as its headers have arrived."""
         headers = self.make_headers(**fields)
         url = self.url(path, relay)
         async with self.http.stream(
@@ -224,9 +232,9 @@
             yield response
 
     def runs(self):
-        """Return how often each attempt ran."""
+        """Return the ids of all attempts that a replica ran, with repetitions."""
         return [attempt for replica in self.replicas for attempt in replica.runs]
 
     def seen(self):
-        """Return all requests that reached a replica."""
+        """Return all requests that a replica received."""
         return [request for replica in self.replicas for request in replica.seen]
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -1,7 +1,7 @@
-"""A stand-in for a replica of the users' platform, which can misbehave.
+"""Simulator of a replica of the users' platform, with fault injection.
 
-What it does with a request is a list of steps, taken from ``script`` first and then
-the same for every further request.
+How it handles a request is named by a step. The steps in ``script`` apply to the next
+requests, one each; ``always`` applies to all further ones.
 """
 
 import json
@@ -9,54 +9,67 @@
 
 import anyio
 
-from standins.http import KEEP, Answer, HttpServer, Reset
+from standins.http import RESPONSE_SENT, Answer, HttpServer, Reset
 
 SEAL = "3e1b.07"
 
 
 def make_event(number, attempt=""):
-    """Return one event of a stream, with the attempt that it answers if given."""
+    """Return one server-sent event, with the id of its attempt if given."""
     return f"id: {number}\ndata: token {number}{attempt}\n\n".encode()
 
 
 def chunk(data):
-    """Return bytes as one chunk of a chunked body."""
+    """Encode bytes as one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 class Replica:
-    """One replica.
+    """A simulated replica.
 
     Parameters
     ----------
     name : str
-        Its id.
+        The id of the replica.
     events : int
-        How many events its streams have.
+        Number of events in each stream.
+    pause_s : float
+        Pause after each event.
 
     Attributes
     ----------
     seen : list of Request
-        All requests but orders.
-    seen_s : list of float
-        When they came.
+        All requests that were received, except reservation orders.
+    received_times : list of float
+        When these requests were received.
     runs : list of str
-        Attempt ids that it began to work on.
+        Ids of the attempts that were started.
+    orders : list of dict
+        All reservation orders that were received.
+    tickets : dict of str to int
+        Tokens of KV memory that are reserved, by reservation id.
+    kv_tokens : int
+        Capacity of the KV memory for reservations.
     cancelled_s : list of float
-        When callers closed streams that weren't finished.
+        When callers closed the connections of unfinished responses.
     drops_kept : bool
-        Whether what comes on a connection that served before is reset.
+        Whether requests on a connection that has already served one are answered with a
+        reset.
     signs : bool
-        Whether each event names the attempt that it answers.
+        Whether each event contains the id of its attempt.
     script : list
-        What to do with the next requests: "refuse", "reset", "silent", "break",
-        "garbled", "crossed", "extra", "unframed", "unframed-reset", "fail", "other",
-        "late", "pause" (says nothing for ``long_pause_s`` before its answer, or after
-        two events, and goes on).
+        Steps of the next requests: "refuse", "refuse-helped" (only those with helpers),
+        "reset", "silent", "break", "stall", "garbled", "crossed", "extra", "unframed",
+        "unframed-reset", "fail", "other", "late" and "pause" (the last two send nothing
+        for ``long_pause_s``, before the response and after two events respectively, and
+        then continue).
+    always : str
+        Step of the requests after those of ``script``; empty for a normal response.
     long_pause_s : float
-        How long.
+        Length of the pause of the steps "late" and "pause".
     leaving_helper : str
-        The address of a replica with whose help it refuses to work, and which it names.
+        Address of a replica; requests that use it as a helper are refused, and the
+        refusal names it.
     """
 
     def __init__(self, name, *, events=4, pause_s=0.01):
@@ -64,7 +77,7 @@
         self.events = events
         self.pause_s = pause_s
         self.seen = []
-        self.seen_s = []
+        self.received_times = []
         self.runs = []
         self.orders = []
         self.tickets = {}
@@ -76,16 +89,16 @@
         self.long_pause_s = 0.0
         self.signs = False
         self.drops_kept = False
-        self._kept = set()
+        self._used_connections = set()
         self.server = HttpServer(self.answer, raw=True)
 
     @property
     def address(self):
-        """Where it listens."""
+        """The address of the server, "ip:port"."""
         return self.server.address
 
     def entry(self, **changes):
-        """Return what it writes into the registry."""
+        """Return the entry of this replica in the registry."""
         return {
             "service": "models", "address": self.address, "zone": "cork-a",
             "version": "v1", "slots": 8, "state": "ready", "coldRemainingMs": 0,
@@ -93,35 +106,35 @@
         } | changes  # fmt: skip
 
     async def answer(self, request, stream):
-        """Answer one request."""
+        """Handle one request."""
         if request.target == "/-/order":
             return self._take_order(json.loads(request.body))
-        if self.drops_kept and stream in self._kept:
+        if self.drops_kept and stream in self._used_connections:
             raise Reset
-        self._kept.add(stream)
+        self._used_connections.add(stream)
         self.seen.append(request)
-        self.seen_s.append(time.monotonic())
+        self.received_times.append(time.monotonic())
         step = self.script.pop(0) if self.script else self.always
         expected = request.headers["lycheetide-expect-instance"]
         if step == "other" or expected != self.name:
             return Answer(421, b"", {"Lycheetide-Instance-Id": "another"})
         helpers = request.headers.get("lycheetide-helpers", "")
-        helped = bool(helpers)
+        has_helpers = bool(helpers)
         if self.leaving_helper and self.leaving_helper in helpers:
             head = {"Lycheetide-Not-Executed": "1", "At-Server": self.leaving_helper}
             return Answer(503, b"", head)
-        if step == "refuse" or (step == "refuse-helped" and helped):
+        if step == "refuse" or (step == "refuse-helped" and has_helpers):
             return Answer(503, b"", {"Lycheetide-Not-Executed": "1"})
         attempt = request.headers.get("lycheetide-attempt-id", "")
         self.runs.append(attempt)
         return await self._run(request, stream, step, attempt)
 
     async def _run(self, request, stream, step, attempt):
-        """Run a request, or fail to."""
+        """Run a request according to its step."""
         if step == "reset":
             raise Reset
         if step == "silent":
-            await self._wait_for_end(stream)
+            await self._wait_for_close(stream)
         if step == "late":
             await anyio.sleep(self.long_pause_s)
         if step == "crossed":
@@ -134,10 +147,10 @@
             return None
         if request.method == "POST" and "stream" in request.target:
             return await self._stream(request, stream, head, step)
-        return await self._answer_plainly(stream, head, step, attempt)
+        return await self._answer_short(stream, head, step, attempt)
 
-    async def _answer_plainly(self, stream, head, step, attempt):
-        """Answer with a short body, or a part of one."""
+    async def _answer_short(self, stream, head, step, attempt):
+        """Send a short response that is not a stream, or a faulty one."""
         await self.wait_to_speak()
         answer = Answer(200, f"{self.name} answers {attempt}".encode(), head)
         if step == "break":
@@ -158,7 +171,7 @@
         return answer
 
     async def _stream(self, request, stream, head, step):
-        """Write a stream of events, or a part of one."""
+        """Send a stream of events, or the first part of one."""
         lines = [f"{name}: {value}" for name, value in head.items()]
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         text = "HTTP/1.1 200 OK\r\n" + "\r\n".join(lines) + "\r\n\r\n"
@@ -166,7 +179,7 @@
         signature = f" {head['Lycheetide-Attempt-Id']}" if self.signs else ""
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._watch, stream)
+                group.start_soon(self._watch_for_close, stream)
                 await self.wait_to_speak()
                 await stream.send(text.encode())
                 for number in range(start + 1, self.count_events(request) + 1):
@@ -184,25 +197,25 @@
         except* (Reset, OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             raise Reset from None
         await stream.send(b"0\r\n\r\n")
-        return KEEP
+        return RESPONSE_SENT
 
     async def wait_to_speak(self):
-        """Wait before it writes; not at all unless a subclass says so."""
+        """Wait before writing: not at all here, but subclasses may override this."""
 
     def count_events(self, request):
-        """Return how many events the stream of a request has."""
+        """Return the number of events in the stream of a request."""
         return self.events
 
-    async def _watch(self, stream):
-        """Note when the caller closes a stream."""
+    async def _watch_for_close(self, stream):
+        """Record when the caller closes the connection, and abort the stream."""
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
             self.cancelled_s.append(time.monotonic())
             raise Reset from None
 
-    async def _wait_for_end(self, stream):
-        """Say nothing until the caller closes the connection."""
+    async def _wait_for_close(self, stream):
+        """Send nothing until the caller closes the connection."""
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -210,13 +223,13 @@
         raise Reset
 
     def _take_order(self, order):
-        """Set memory aside, or free it."""
+        """Reserve KV memory, or release a reservation."""
         self.orders.append(order)
         if order["operation"] == "release":
             self.tickets.pop(order["id"], None)
             return Answer(200, b"{}")
-        others = sum(v for k, v in self.tickets.items() if k != order["id"])
-        if others + order["tokens"] > self.kv_tokens:
+        other_tokens = sum(v for k, v in self.tickets.items() if k != order["id"])
+        if other_tokens + order["tokens"] > self.kv_tokens:
             return Answer(409, b"{}")
         self.tickets[order["id"]] = order["tokens"]
         return Answer(200, b'{"free":1}')
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service: bookings and lookups, counted by key."""
+"""Simulator of a service for bookings and lookups that counts runs by key."""
 
 import time
 from collections import Counter
@@ -10,9 +10,12 @@
 
 
 def make_app(*, name, work_s=0.02, checks_fencing=False):
-    """Return an application that counts how often each key ran."""
+    """Return an HTTP application that counts the executions of each key.
+
+    With ``checks_fencing``, it refuses a fencing number below the last one of the key.
+    """
     runs = Counter()
-    fencing = {}
+    last_numbers = {}
     faults = {}
     starts = []
 
@@ -21,9 +24,9 @@
         key = request.headers.get("idempotency-key", "")
         request_id = request.headers.get("x-request-id", "")
         number = int(request.headers.get("x-fencing-number", "0"))
-        if checks_fencing and number < fencing.get(key, 0):
+        if checks_fencing and number < last_numbers.get(key, 0):
             return JSONResponse({"error": "old number", "started": False}, 409)
-        fencing[key] = max(number, fencing.get(key, 0))
+        last_numbers[key] = max(number, last_numbers.get(key, 0))
         if faults.get("refuse"):
             return JSONResponse({"error": "busy", "started": False}, 503)
         runs[key or request_id] += 1
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the store of the users' platform: keyed logs over HTTP."""
+"""Simulator of the store of the users' platform: logs of keyed records over HTTP."""
 
 import base64
 import json
@@ -9,11 +9,11 @@
 from standins.http import Answer, HttpServer
 
 LENGTH_BYTES = 4
-LONGEST_WAIT_S = 30.0
+MAX_WAIT_S = 30.0
 
 
 class Topic:
-    """One keyed topic."""
+    """A log of keyed records."""
 
     def __init__(self):
         self.records = []
@@ -21,15 +21,15 @@
 
     @property
     def end(self):
-        """The next record's offset."""
+        """The offset of the next record."""
         return self.first + len(self.records)
 
     def put(self, key, value):
-        """Append a record; an empty value removes the key."""
+        """Append a record; an empty value deletes the key."""
         self.records.append((key, value))
 
     def newest(self):
-        """Return the newest record of each key, with its offset."""
+        """Return the offset and value of the newest record of each key."""
         found = {}
         for index, (key, value) in enumerate(self.records):
             found[key] = (self.first + index, value)
@@ -37,14 +37,15 @@
 
 
 class Store:
-    """The store; ``down`` makes it refuse all calls.
+    """Simulated store that can be made to fail all calls.
 
     Attributes
     ----------
     calls : list of str
-        The targets of all calls.
+        Request targets of all calls.
     down : str
-        Empty, "busy", or "silent".
+        Empty in normal operation; "busy" answers all calls with status 503, "silent"
+        never answers them.
     """
 
     def __init__(self):
@@ -56,40 +57,42 @@
 
     @property
     def address(self):
-        """Where it listens."""
+        """The address of the server, "ip:port"."""
         return self.server.address
 
     def topic(self, name):
-        """Return a topic, made on first use."""
+        """Return a topic, which is created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic, key, value):
-        """Write a record as operators and replicas do."""
+        """Append a record as operators and replicas do; encode other values as JSON."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.topic(topic).put(key, data)
         self.wake()
 
     def remove(self, topic, key):
-        """Remove a key."""
+        """Delete a key."""
         self.topic(topic).put(key, b"")
         self.wake()
 
     def wake(self):
-        """Wake the reads that wait."""
+        """Wake all reads that wait for new records."""
         self.changed.set()
         self.changed = anyio.Event()
 
     def compact(self, topic):
-        """Drop the history; only the newest record of each key stays listed."""
+        """Remove all records but the newest of each key, which gets a new offset."""
         old = self.topic(topic)
-        kept = {key: value for key, (_, value) in old.newest().items() if value}
+        newest_records = {
+            key: value for key, (_, value) in old.newest().items() if value
+        }
         old.first = old.end
         old.records = []
-        for key, value in kept.items():
+        for key, value in newest_records.items():
             old.put(key, value)
 
     async def answer(self, request):
-        """Answer one call."""
+        """Handle one call."""
         self.calls.append(request.target)
         if self.down == "silent":
             await anyio.sleep_forever()
@@ -106,14 +109,14 @@
 
     def _append(self, topic, body):
         """Append one record."""
-        size = body[LENGTH_BYTES]
-        key = body[LENGTH_BYTES + 1 : LENGTH_BYTES + 1 + size].decode()
-        topic.put(key, body[LENGTH_BYTES + 1 + size :])
+        key_length = body[LENGTH_BYTES]
+        key = body[LENGTH_BYTES + 1 : LENGTH_BYTES + 1 + key_length].decode()
+        topic.put(key, body[LENGTH_BYTES + 1 + key_length :])
         self.wake()
         return Answer(200, json.dumps({"offset": topic.end - 1}).encode())
 
     def _newest(self, topic):
-        """List the newest records."""
+        """Return the newest record of each key that is not deleted."""
         items = [
             {"key": key, "offset": offset, "value": base64.b64encode(value).decode()}
             for key, (offset, value) in topic.newest().items()
@@ -123,7 +126,7 @@
         return Answer(200, json.dumps(body).encode())
 
     async def _read(self, topic, query):
-        """Return records from an offset on."""
+        """Return the records from an offset on; wait for one if there is none yet."""
         offset = int(query["from"])
         with anyio.move_on_after(int(query.get("waitMs", 0)) / 1000):
             while topic.end <= offset and not self.down:
