--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from lycheetide.board import (
+from lycheetide.gossip import (
     Board,
     Ended,
     Hello,
--- a/lycheetide/board/__init__.py
+++ b/lycheetide/gossip/__init__.py
@@ -8,10 +8,11 @@
 Replicas are said to read a prompt (prefill) and to write an answer (decode).
 """
 
-from lycheetide.board._board import START_WINDOW_S, Board, Job, make_job
-from lycheetide.board._column import UnreadPart
-from lycheetide.board._delays import Delays, make_sent_ms
-from lycheetide.board._messages import (
+from lycheetide.gossip._delays import Delays, make_sent_ms
+from lycheetide.gossip._failure_detector import Trust
+from lycheetide.gossip._jobs import START_WINDOW_S, Board, Job, make_job
+from lycheetide.gossip._memory_queue import MemoryQueue, Waiting
+from lycheetide.gossip._messages import (
     Bundle,
     Changed,
     Doubted,
@@ -25,9 +26,8 @@
     decode_message,
     encode_message,
 )
-from lycheetide.board._peers import Peer, Peers, order_node
-from lycheetide.board._queue import MemoryQueue, Waiting
-from lycheetide.board._trust import Trust
+from lycheetide.gossip._peers import Peer, Peers, order_node
+from lycheetide.gossip._workload import UnreadPart
 
 __all__ = [
     "START_WINDOW_S",
--- a/lycheetide/board/_trust.py
+++ b/lycheetide/gossip/_failure_detector.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, replace
 
-from lycheetide.board._board import REPLICA_RETENTION_S
+from lycheetide.gossip._jobs import REPLICA_RETENTION_S
 
 NEVER_S = float("-inf")
 SUSPECT_S = 3.0
--- a/lycheetide/board/_board.py
+++ b/lycheetide/gossip/_jobs.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from itertools import takewhile
 
-from lycheetide.board._column import ReplicaWorkload
-from lycheetide.board._messages import Part, Started
+from lycheetide.gossip._messages import Part, Started
+from lycheetide.gossip._workload import ReplicaWorkload
 
 START_WINDOW_S = 1.0
 """Window over which starts are counted; the limits of cold replicas are per second."""
--- a/lycheetide/board/tests/test_board.py
+++ b/lycheetide/gossip/tests/test_board.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lycheetide.board import (
+from lycheetide.gossip import (
     Board,
     Ended,
     Hello,
--- a/lycheetide/board/tests/test_delays.py
+++ b/lycheetide/gossip/tests/test_delays.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lycheetide.board import Delays, make_sent_ms
+from lycheetide.gossip import Delays, make_sent_ms
 
 STEP_S = 0.01
 
--- a/lycheetide/board/tests/test_queue.py
+++ b/lycheetide/gossip/tests/test_queue.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lycheetide.board import MemoryQueue, Waiting
+from lycheetide.gossip import MemoryQueue, Waiting
 
 CAPACITY = 600_000
 POLL_S = 0.1
--- a/lycheetide/model/_relay_simulation.py
+++ b/lycheetide/model/_relay_simulation.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from lycheetide.board import Board, Job, Part
+from lycheetide.gossip import Board, Job, Part
 from lycheetide.model._passes import DecodeTask, PassEngine, PrefillTask
 from lycheetide.model._relay_policies import PlacementQuery
 from lycheetide.placement import (
--- a/lycheetide/placement/tests/test_herd.py
+++ b/lycheetide/placement/tests/test_herd.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from lycheetide.board import Board, Job
+from lycheetide.gossip import Board, Job
 from lycheetide.model import DENSE_ENGINE
 from lycheetide.placement import (
     Candidate,
--- a/lycheetide/placement/tests/test_news.py
+++ b/lycheetide/placement/tests/test_news.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lycheetide.board import START_WINDOW_S, Board, Started, make_job
-from lycheetide.board._messages import Part
+from lycheetide.gossip import START_WINDOW_S, Board, Started, make_job
+from lycheetide.gossip._messages import Part
 from lycheetide.placement import NEWS_S, may_send, share_cold_limits
 
 REPLICA = "r"
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lycheetide.board import Ended, Part, Started, make_job, make_sent_ms
 from lycheetide.exchange import Answer
+from lycheetide.gossip import Ended, Part, Started, make_job, make_sent_ms
 from lycheetide.httpclient import ChannelBroken, ConnectFailed, count_kept
 from lycheetide.placement import Placement
 from lycheetide.relay._call import find_admission_priority
--- a/lycheetide/relay/_datagrams.py
+++ b/lycheetide/relay/_datagrams.py
@@ -26,7 +26,7 @@
 
     Examples
     --------
-    >>> from lycheetide.board import Ended, Hello, encode_message
+    >>> from lycheetide.gossip import Ended, Hello, encode_message
     >>> classify_datagram(encode_message(Ended("n", "1")))
     'work'
     >>> classify_datagram(encode_message(Hello("", "", "", "", 0, 0, 0.0)))
--- a/lycheetide/relay/_evidence.py
+++ b/lycheetide/relay/_evidence.py
@@ -2,7 +2,7 @@
 
 import math
 
-from lycheetide.board import Doubted, Suspected
+from lycheetide.gossip import Doubted, Suspected
 from lycheetide.relay._outcomes import Cause
 from lycheetide.relay._state import read_clock
 
--- a/lycheetide/relay/_gossip.py
+++ b/lycheetide/relay/_gossip.py
@@ -5,7 +5,8 @@
 import anyio
 import msgspec
 
-from lycheetide.board import (
+from lycheetide.exchange import StoreUnavailable
+from lycheetide.gossip import (
     Bundle,
     Changed,
     Doubted,
@@ -19,7 +20,6 @@
     encode_message,
     make_job,
 )
-from lycheetide.exchange import StoreUnavailable
 from lycheetide.relay._datagrams import classify_datagram, make_sender, receive_all
 from lycheetide.relay._peer_state import fetch_registry
 from lycheetide.relay._sharing import (
--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_place.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from lycheetide.board import START_WINDOW_S
+from lycheetide.gossip import START_WINDOW_S
 from lycheetide.placement import (
     HELPERS_MOST,
     Arrivals,
--- a/lycheetide/relay/_sharing.py
+++ b/lycheetide/relay/_sharing.py
@@ -8,8 +8,8 @@
 themselves.
 """
 
-from lycheetide.board import Changed, Peer
 from lycheetide.exchange import Batch, Record
+from lycheetide.gossip import Changed, Peer
 
 FRESH_S = 1.1
 """Age at which a hub reads the registry again: a heartbeat interval of 0.3 s, a read
--- a/lycheetide/relay/_spreading.py
+++ b/lycheetide/relay/_spreading.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from lycheetide.board import Bundle, encode_message
+from lycheetide.gossip import Bundle, encode_message
 from lycheetide.relay._sharing import find_hubs
 from lycheetide.relay._state import read_clock
 
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from lycheetide.board import (
+from lycheetide.gossip import (
     START_WINDOW_S,
     Board,
     Delays,
--- a/lycheetide/relay/_tickets.py
+++ b/lycheetide/relay/_tickets.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from lycheetide.board import Ended, Waiting, Wants
+from lycheetide.gossip import Ended, Waiting, Wants
 from lycheetide.httpclient import ChannelBroken, ConnectFailed
 from lycheetide.placement import Placement, count_room, needs_sharing
 from lycheetide.relay._evidence import suspect
--- a/lycheetide/relay/tests/test_answers.py
+++ b/lycheetide/relay/tests/test_answers.py
@@ -6,7 +6,7 @@
 import httpx
 import pytest
 
-from lycheetide.board import Job, Part
+from lycheetide.gossip import Job, Part
 from standins.http import LOOPBACK, Answer, Reset
 from standins.local import find_port
 from standins.relayed import CUSTOMER, KEY, Relayed, make_config
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -5,8 +5,8 @@
 import anyio
 import pytest
 
-from lycheetide.board import START_WINDOW_S, Started
-from lycheetide.board._messages import Part
+from lycheetide.gossip import START_WINDOW_S, Started
+from lycheetide.gossip._messages import Part
 from lycheetide.relay._place import list_candidates
 from lycheetide.relay._serve import make_call
 from standins.relayed import HOST, KEY, Relayed
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from lycheetide.board import Changed
+from lycheetide.gossip import Changed
 from lycheetide.relay import _follow, _peer_state
 from lycheetide.relay._sharing import is_hub, must_read, waits_for_operators
 from standins.relayed import Relayed, make_config
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from lycheetide.board import (
+from lycheetide.gossip import (
     Board,
     Ended,
     Hello,
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -7,7 +7,7 @@
 import httpx
 import pytest
 
-from lycheetide.board import Part, Started, make_job
+from lycheetide.gossip import Part, Started, make_job
 from standins.http import Answer
 from standins.relayed import Relayed, make_config, make_patient_config
 from standins.replica import Replica, make_event
--- a/standins/large.py
+++ b/standins/large.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from lycheetide import platform
-from lycheetide.board import Hello
+from lycheetide.gossip import Hello
 from lycheetide.placement import Size
 from lycheetide.relay._state import RelayState
 from lycheetide.replicas import Change, Entry
