--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 
 from lycheetide.gossip import (
-    Board,
     Ended,
-    Hello,
+    Heartbeat,
     Job,
-    Part,
+    JobPart,
+    JobTable,
     Started,
     decode_message,
     encode_message,
@@ -45,25 +45,27 @@
 
 def measure_messages():
     """Return the cost and the sizes of the messages about one short request."""
-    board = Board()
-    part = Part("i-3c568cd48e", 0.03, 6_000)
+    job_table = JobTable()
+    part = JobPart("i-3c568cd48e", 0.03, 6_000)
 
     def exchange_messages(number):
         job = f"{number:x}"
         started = Started("front-a-1.1ecc477f.f88", job, (part,), 10_000)
         message = decode_message(encode_message(started))
-        board.start(Job(message.job, message.node, message.parts, 0.0, 10.0), now_s=0.0)
+        job_table.start(
+            Job(message.job, message.node, message.parts, 0.0, 10.0), now_s=0.0
+        )
         ended = decode_message(encode_message(Ended(started.node, job)))
-        board.end(ended.node, ended.job, now_s=0.1)
+        job_table.end(ended.node, ended.job, now_s=0.1)
 
     started = Started("front-a-1.1ecc477f.f88", "ff", (part,), 10_000)
-    hello = Hello("10.0.0.1:1", "front-a-1.1ecc477f.f88", "10.0.0.2:7", "a", 1, 2, 0.1,
-                  heard=("i-3c568cd48e",) * 24)  # fmt: skip
+    heartbeat = Heartbeat("10.0.0.1:1", "front-a-1.1ecc477f.f88", "10.0.0.2:7", "a",
+                          1, 2, 0.1, heard=("i-3c568cd48e",) * 24)  # fmt: skip
     return {
         "request_us": measure_cpu_us(exchange_messages),
         "started_bytes": len(encode_message(started)),
         "ended_bytes": len(encode_message(Ended("front-a-1.1ecc477f.f88", "ff"))),
-        "hello_bytes": len(encode_message(hello)),
+        "hello_bytes": len(encode_message(heartbeat)),
     }
 
 
--- a/lycheetide/gossip/__init__.py
+++ b/lycheetide/gossip/__init__.py
@@ -8,48 +8,48 @@
 Replicas are said to read a prompt (prefill) and to write an answer (decode).
 """
 
-from lycheetide.gossip._delays import Delays, make_sent_ms
-from lycheetide.gossip._failure_detector import Trust
-from lycheetide.gossip._jobs import START_WINDOW_S, Board, Job, make_job
-from lycheetide.gossip._memory_queue import MemoryQueue, Waiting
+from lycheetide.gossip._delays import DelayEstimator, make_sent_ms
+from lycheetide.gossip._failure_detector import FailureDetector
+from lycheetide.gossip._jobs import START_WINDOW_S, Job, JobTable, make_job
+from lycheetide.gossip._memory_queue import MemoryQueue, WaitingRequest
 from lycheetide.gossip._messages import (
     Bundle,
-    Changed,
     Doubted,
     Ended,
-    Hello,
+    Heartbeat,
+    JobPart,
+    MemoryWanted,
     Message,
-    Part,
+    RegistryUpdate,
     Started,
     Suspected,
-    Wants,
     decode_message,
     encode_message,
 )
-from lycheetide.gossip._peers import Peer, Peers, order_node
+from lycheetide.gossip._peers import Peer, PeerTable, order_node
 from lycheetide.gossip._workload import UnreadPart
 
 __all__ = [
     "START_WINDOW_S",
-    "Board",
     "Bundle",
-    "Changed",
-    "Delays",
+    "DelayEstimator",
     "Doubted",
     "Ended",
-    "Hello",
+    "FailureDetector",
+    "Heartbeat",
     "Job",
+    "JobPart",
+    "JobTable",
     "MemoryQueue",
+    "MemoryWanted",
     "Message",
-    "Part",
     "Peer",
-    "Peers",
+    "PeerTable",
+    "RegistryUpdate",
     "Started",
     "Suspected",
-    "Trust",
     "UnreadPart",
-    "Waiting",
-    "Wants",
+    "WaitingRequest",
     "decode_message",
     "encode_message",
     "make_job",
--- a/lycheetide/gossip/_delays.py
+++ b/lycheetide/gossip/_delays.py
@@ -41,7 +41,7 @@
     previous_ms: float
 
 
-class Delays:
+class DelayEstimator:
     """Estimator of the mean delay of other nodes' messages."""
 
     def __init__(self):
@@ -66,7 +66,7 @@
         """Return the moving average of the delay, in seconds."""
         return self._mean_s
 
-    def forget(self, living):
+    def drop_absent(self, living):
         """Drop the state of nodes that are not in ``living``."""
         for node in set(self._minimums) - set(living):
             del self._minimums[node]
--- a/lycheetide/gossip/_failure_detector.py
+++ b/lycheetide/gossip/_failure_detector.py
@@ -19,7 +19,7 @@
 unless it answers."""
 PEER_REPORT_AGE_S = 1.3
 """Greatest age of a peer's report that a replica answered: peers report the replicas
-that they heard from within a second, and send a greeting every 0.3 s."""
+that they heard from within a second, and send a heartbeat every 0.3 s."""
 MAX_PERIODS = 4
 DOUBT_S = 0.5
 """How long other replicas are preferred to one that broke off an answer, unless it
@@ -53,7 +53,7 @@
         return self.since_s + min(doubled_s, MAX_SUSPECT_S)
 
 
-class Trust:
+class FailureDetector:
     """Failure detector: evidence for and against each replica."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
         self._answered_s[replica] = now_s
         self._suspicions.pop(replica, None)
 
-    def hear_of(self, replica, *, now_s):
+    def note_peer_report(self, replica, *, now_s):
         """Record a peer's report that a replica answered it recently.
 
         The report ends a suspicion only if it is certainly newer than the last failure.
@@ -116,15 +116,15 @@
             self._suspicions[replica] = replace(found, last_s=now_s)
         return is_new
 
-    def answered_s(self, replica):
+    def last_answer_s(self, replica):
         """Return the time of a replica's last answer to this node."""
         return self._answered_s.get(replica, NEVER_S)
 
-    def heard_s(self, replica):
+    def last_heard_s(self, replica):
         """Return when a replica was last known to be alive, also through peers."""
-        return max(self.answered_s(replica), self._reported_s.get(replica, NEVER_S))
+        return max(self.last_answer_s(replica), self._reported_s.get(replica, NEVER_S))
 
-    def troubled_s(self, replica):
+    def last_failure_s(self, replica):
         """Return the time of a replica's last failure that is known here."""
         return self._failed_s.get(replica, NEVER_S)
 
@@ -143,8 +143,11 @@
 
     def is_doubted(self, replica, *, now_s):
         """Return whether a replica failed a moment ago and hasn't answered since."""
-        troubled_s = self.troubled_s(replica)
-        return now_s - troubled_s < DOUBT_S and self.answered_s(replica) < troubled_s
+        last_failure_s = self.last_failure_s(replica)
+        return (
+            now_s - last_failure_s < DOUBT_S
+            and self.last_answer_s(replica) < last_failure_s
+        )
 
     def is_recovering(self, replica, *, now_s):
         """Return whether a replica failed so recently that others are preferred."""
@@ -153,7 +156,7 @@
         found = self._suspicions.get(replica)
         return found is not None and now_s - found.last_s < RECOVERING_S
 
-    def forget(self, present, *, now_s):
+    def drop_absent(self, present, *, now_s):
         """Drop the evidence of removed replicas that were not heard of recently.
 
         Parameters
@@ -165,7 +168,7 @@
         """
         known = {*self._answered_s, *self._reported_s, *self._failed_s}
         for replica in known - set(present):
-            last_s = max(self.heard_s(replica), self.troubled_s(replica))
+            last_s = max(self.last_heard_s(replica), self.last_failure_s(replica))
             if now_s - last_s > REPLICA_RETENTION_S:
                 self._answered_s.pop(replica, None)
                 self._reported_s.pop(replica, None)
--- a/lycheetide/gossip/_jobs.py
+++ b/lycheetide/gossip/_jobs.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from itertools import takewhile
 
-from lycheetide.gossip._messages import Part, Started
+from lycheetide.gossip._messages import JobPart, Started
 from lycheetide.gossip._workload import ReplicaWorkload
 
 START_WINDOW_S = 1.0
@@ -33,7 +33,7 @@
     ----------
     id, node : str
         Identifier of the job, unique within the node, and the node that sent it.
-    parts : tuple of Part
+    parts : tuple of JobPart
         Cost of the job at each replica involved.
     started_s, expires_s : float
         When it was sent, and the time by which it has certainly ended.
@@ -48,7 +48,7 @@
 
     id: str
     node: str
-    parts: tuple[Part, ...]
+    parts: tuple[JobPart, ...]
     started_s: float
     expires_s: float
     due_s: float = float("inf")
@@ -63,14 +63,14 @@
         started.node,
         started.parts,
         started_s=now_s,
-        expires_s=now_s + started.lasts_ms / 1e3,
+        expires_s=now_s + started.expires_in_ms / 1e3,
         due_s=now_s + started.due_in_ms / 1e3,
         gap_s=started.gap_ms / 1e3,
         weight=started.weight_hundredths / 100,
     )
 
 
-class Board:
+class JobTable:
     """Table of all jobs in flight that this node knows of."""
 
     def __init__(self):
@@ -124,7 +124,7 @@
         dead : set of str
             Nodes that were alive and no longer are; their requests ended with them. A
             node that is not known yet must not be listed: other nodes may report its
-            jobs before its own first greeting arrives.
+            jobs before its own first heartbeat arrives.
         """
         finished = [
             key
@@ -143,7 +143,7 @@
         """Return the ids of a node's jobs in flight."""
         return self._by_node.get(node, frozenset())
 
-    def settle(self, node, running, *, now_s):
+    def reconcile(self, node, running, *, now_s):
         """Remove jobs that a node no longer runs and whose ``Ended`` message was lost.
 
         Otherwise the replica would look busy until the deadline of the request, and
@@ -183,7 +183,7 @@
         found = self.workloads.get(replica)
         return found.list_unread(now_s=now_s) if found else []
 
-    def column(self, replica) -> ReplicaWorkload:
+    def workload(self, replica) -> ReplicaWorkload:
         """Return the workload of a replica."""
         return self.workloads.get(replica) or EMPTY_WORKLOAD
 
@@ -211,7 +211,7 @@
         burst = sum(1 for _ in takewhile(begins_s.__lt__, reversed(self._starts)))
         return max(len(self._starts) / START_WINDOW_S, burst / BURST_WINDOW_S)
 
-    def forget(self, present, *, now_s):
+    def drop_absent(self, present, *, now_s):
         """Drop the workload of removed replicas that have no jobs in flight.
 
         Parameters
--- a/lycheetide/gossip/_memory_queue.py
+++ b/lycheetide/gossip/_memory_queue.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Waiting:
+class WaitingRequest:
     """A request that waits for memory.
 
     Parameters
@@ -41,10 +41,10 @@
     """All requests that wait for memory, as far as this node knows."""
 
     def __init__(self):
-        self._waiting: dict[tuple[str, str], tuple[Waiting, float]] = {}
+        self._waiting: dict[tuple[str, str], tuple[WaitingRequest, float]] = {}
         self._last = 0
 
-    def take_number(self):
+    def next_number(self):
         """Return the number for a request that starts to wait."""
         return self._last + 1
 
@@ -62,7 +62,7 @@
 
         Parameters
         ----------
-        waiting : Waiting or None
+        waiting : WaitingRequest or None
             The request; None where it has not started to wait.
         now_s : float
             Current time.
--- a/lycheetide/gossip/_messages.py
+++ b/lycheetide/gossip/_messages.py
@@ -6,7 +6,7 @@
 """Fits one Ethernet frame, so that a datagram arrives whole or not at all."""
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
+class JobPart(msgspec.Struct, frozen=True, array_like=True):
     """The part of a job that one replica does.
 
     Parameters
@@ -37,9 +37,9 @@
     ----------
     node, job : str
         Node that sent the request, and its id for this attempt.
-    parts : tuple of Part
+    parts : tuple of JobPart
         Cost of the job at each replica involved.
-    lasts_ms : int
+    expires_in_ms : int
         Time from now by which it has certainly ended.
     due_in_ms : int
         Time from now to the target time of its first event; below 0 if that is past.
@@ -54,8 +54,8 @@
 
     node: str
     job: str
-    parts: tuple[Part, ...]
-    lasts_ms: int
+    parts: tuple[JobPart, ...]
+    expires_in_ms: int
     due_in_ms: int = 60_000
     gap_ms: int = 0
     weight_hundredths: int = 100
@@ -83,7 +83,7 @@
     replica: str
 
 
-class Wants(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class MemoryWanted(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """A request waits for memory of several replicas; repeated for as long as it waits.
 
     Parameters
@@ -103,8 +103,8 @@
     tokens: int
 
 
-class Hello(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Greeting of a node: a heartbeat with the sender's state.
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
+    """Heartbeat of a node, with the sender's state.
 
     Parameters
     ----------
@@ -143,7 +143,7 @@
         Ids of all jobs that the sender has in flight; None where they wouldn't fit.
     link_mbps : int
         Bandwidth of its network link, in Mbit/s; 0 if unknown.
-    reads_store : bool
+    is_store_reachable : bool
         Whether its last request to the store succeeded.
 
     Notes
@@ -168,10 +168,10 @@
     living: tuple[int, ...] = ()
     jobs: tuple[str, ...] | None = None
     link_mbps: int = 0
-    reads_store: bool = True
+    is_store_reachable: bool = True
 
 
-class Changed(msgspec.Struct, frozen=True, array_like=True, tag="c"):
+class RegistryUpdate(msgspec.Struct, frozen=True, array_like=True, tag="c"):
     """A node has read changes of the replica registry.
 
     Parameters
@@ -197,18 +197,27 @@
     ----------
     node : str
         Node that sends the bundle; the messages may come from others.
-    messages : tuple of Started, Ended, Suspected, Doubted or Wants
+    messages : tuple of Started, Ended, Suspected, Doubted or MemoryWanted
         The messages.
-    spreads : bool
+    must_forward : bool
         Whether the receiver has to forward them within its failure domain.
     """
 
     node: str
-    messages: tuple[Started | Ended | Suspected | Doubted | Wants, ...]
-    spreads: bool = False
-
-
-Message = Started | Ended | Suspected | Doubted | Wants | Hello | Changed | Bundle
+    messages: tuple[Started | Ended | Suspected | Doubted | MemoryWanted, ...]
+    must_forward: bool = False
+
+
+Message = (
+    Started
+    | Ended
+    | Suspected
+    | Doubted
+    | MemoryWanted
+    | Heartbeat
+    | RegistryUpdate
+    | Bundle
+)
 
 _decoder = msgspec.msgpack.Decoder(Message)
 _encoder = msgspec.msgpack.Encoder()
--- a/lycheetide/gossip/_peers.py
+++ b/lycheetide/gossip/_peers.py
@@ -5,13 +5,14 @@
 import xxhash
 
 PEER_TIMEOUT_S = 3.0
-"""A peer silent for this long counts as dead: it gets no messages but greetings, and no
-share of what the nodes divide among themselves."""
+"""A peer silent for this long counts as dead: it gets no messages but heartbeats, and
+no share of what the nodes divide among themselves."""
 PEER_RETENTION_S = 30.0
-"""A peer silent for this long is no longer greeted and is dropped from the table."""
+"""A peer silent for this long is no longer sent heartbeats and is dropped from the
+table."""
 INDIRECT_REPORT_AGE_S = 0.5
 """Age assumed for a peer's report that it heard from another node: slightly more than
-the interval between that node's greetings to it."""
+the interval between that node's heartbeats to it."""
 
 
 def order_node(node):
@@ -31,10 +32,10 @@
         Address at which it takes datagrams and calls.
     failure_domain : str
         Failure domain in which it runs.
-    heard_s : float
-        Time of its last greeting.
+    last_heard_s : float
+        Time of its last heartbeat.
     operator_offset, registry_offset : int
-        Offsets that this greeting gave.
+        Offsets in that heartbeat.
     registry_read_s : float
         Time at which its copy of the registry was up to date, on this node's clock.
     is_leaving : bool
@@ -43,21 +44,21 @@
         Hash that orders the nodes, from ``order_node``.
     link_mbps : int
         Bandwidth of its network link, in Mbit/s; 0 if unknown.
-    reads_store : bool
+    is_store_reachable : bool
         Whether its last request to the store succeeded.
     """
 
     node: str
     address: str
     failure_domain: str = ""
-    heard_s: float = float("-inf")
+    last_heard_s: float = float("-inf")
     operator_offset: int = -1
     registry_offset: int = -1
     registry_read_s: float = float("-inf")
     is_leaving: bool = False
     order: int = 0
     link_mbps: int = 0
-    reads_store: bool = True
+    is_store_reachable: bool = True
 
     @property
     def place(self):
@@ -65,7 +66,7 @@
         return -self.link_mbps, self.order
 
 
-class Peers:
+class PeerTable:
     """Table of peers by address.
 
     Parameters
@@ -78,21 +79,21 @@
 
     Attributes
     ----------
-    grown_s : float
-        Time of the last first greeting of a node.
+    last_new_peer_s : float
+        Time of the last heartbeat that was the first of its node.
     """
 
     def __init__(self, own_address, *, fleet=""):
         self.own_address = own_address
         self.fleet = fleet
         self.peers: dict[str, Peer] = {}
-        self.grown_s = float("-inf")
+        self.last_new_peer_s = float("-inf")
         self._added_s: dict[str, float] = {}
         self._indirectly_heard_s: dict[int, float] = {}
         self._known_nodes: set[str] = set()
         self._gone_since_s: dict[str, float] = {}
 
-    def learn(self, address, *, now_s):
+    def add_address(self, address, *, now_s):
         """Add an address at which a node may run."""
         if address == self.own_address or address in self.peers:
             return
@@ -100,35 +101,35 @@
         self._added_s[address] = now_s
 
     def is_peer(self, node):
-        """Return whether a node has greeted this one."""
+        """Return whether a node has sent this one a heartbeat."""
         return node in self._known_nodes
 
-    def hear(self, hello, *, now_s):
-        """Record a peer's greeting; return whether it is the first of this start."""
-        known = self.peers.get(hello.address) or Peer("", hello.address)
-        is_new = known.node != hello.node
-        self.peers[hello.address] = Peer(
-            node=hello.node,
-            address=hello.address,
-            failure_domain=hello.failure_domain,
-            heard_s=now_s,
-            operator_offset=hello.operator_offset,
-            registry_offset=hello.registry_offset,
-            registry_read_s=now_s - hello.registry_age_s,
-            is_leaving=hello.is_leaving,
-            order=order_node(hello.node) if is_new else known.order,
-            link_mbps=hello.link_mbps,
-            reads_store=hello.reads_store,
+    def hear(self, heartbeat, *, now_s):
+        """Record a peer's heartbeat; return whether it is the first of this start."""
+        known = self.peers.get(heartbeat.address) or Peer("", heartbeat.address)
+        is_new = known.node != heartbeat.node
+        self.peers[heartbeat.address] = Peer(
+            node=heartbeat.node,
+            address=heartbeat.address,
+            failure_domain=heartbeat.failure_domain,
+            last_heard_s=now_s,
+            operator_offset=heartbeat.operator_offset,
+            registry_offset=heartbeat.registry_offset,
+            registry_read_s=now_s - heartbeat.registry_age_s,
+            is_leaving=heartbeat.is_leaving,
+            order=order_node(heartbeat.node) if is_new else known.order,
+            link_mbps=heartbeat.link_mbps,
+            is_store_reachable=heartbeat.is_store_reachable,
         )
         if is_new:
-            self.grown_s = now_s
+            self.last_new_peer_s = now_s
             if known.node:
                 self._gone_since_s[known.node] = now_s
             self._known_nodes.discard(known.node)
-            self._known_nodes.add(hello.node)
+            self._known_nodes.add(heartbeat.node)
         return is_new
 
-    def vouch(self, orders, *, now_s):
+    def hear_indirectly(self, orders, *, now_s):
         """Record that a peer has just heard from nodes that rarely greet this one.
 
         Only nodes that the peer heard from directly may be given here. If indirect
@@ -143,7 +144,7 @@
         return [
             peer
             for peer in self.peers.values()
-            if now_s - peer.heard_s < within_s
+            if now_s - peer.last_heard_s < within_s
             or (
                 peer.node
                 and now_s - indirectly_heard_s.get(peer.order, -1e9) < within_s
@@ -168,14 +169,16 @@
         """Return the addresses at which no node has been heard from yet."""
         return [peer.address for peer in self.peers.values() if not peer.node]
 
-    def heard_directly(self, *, now_s, within_s):
+    def list_heard_directly(self, *, now_s, within_s):
         """Return the peers that this node itself heard from recently."""
-        return [peer for peer in self.peers.values() if now_s - peer.heard_s < within_s]
+        return [
+            peer for peer in self.peers.values() if now_s - peer.last_heard_s < within_s
+        ]
 
     def targets(self, *, now_s):
         """Return the addresses to greet: peers that are alive or may come back."""
         for address, peer in list(self.peers.items()):
-            since_s = max(peer.heard_s, self._added_s.get(address, now_s))
+            since_s = max(peer.last_heard_s, self._added_s.get(address, now_s))
             if now_s - since_s > PEER_RETENTION_S:
                 del self.peers[address]
                 self._added_s.pop(address, None)
--- a/lycheetide/gossip/_workload.py
+++ b/lycheetide/gossip/_workload.py
@@ -10,7 +10,7 @@
 
     Parameters
     ----------
-    by_s : float
+    read_by_s : float
         Expected end of its prefill, at full speed.
     due_s : float
         Target time of the first event of its request.
@@ -19,7 +19,7 @@
         as any part of it is.
     """
 
-    by_s: float
+    read_by_s: float
     due_s: float
     weight: float
 
@@ -79,13 +79,13 @@
 
     def _add_unread(self, job, part, *, now_s):
         """Insert a part in reading order: helper parts first, own prompts last."""
-        by_s = self.busy_until_s
+        read_by_s = self.busy_until_s
         if not part.writes:
-            by_s = now_s + part.read_s
+            read_by_s = now_s + part.read_s
             for other in self.unread.values():
-                if other.by_s > now_s:
-                    other.by_s += part.read_s
-        self.unread[job.node, job.id] = UnreadPart(by_s, job.due_s, job.weight)
+                if other.read_by_s > now_s:
+                    other.read_by_s += part.read_s
+        self.unread[job.node, job.id] = UnreadPart(read_by_s, job.due_s, job.weight)
 
     def remove(self, job, part, *, now_s):
         """Remove the part of a job that this replica does."""
@@ -110,20 +110,20 @@
         the living replicas would look busy and the next prompts would be refused.
         """
         gone = self.unread.pop((job.node, job.id), None)
-        if gone is None or gone.by_s <= now_s:
+        if gone is None or gone.read_by_s <= now_s:
             return
-        left_s = min(part.read_s, gone.by_s - now_s)
+        left_s = min(part.read_s, gone.read_by_s - now_s)
         self.busy_until_s -= left_s
         for other in self.unread.values():
-            if other.by_s > gone.by_s:
-                other.by_s -= left_s
+            if other.read_by_s > gone.read_by_s:
+                other.read_by_s -= left_s
 
     def list_unread(self, *, now_s):
         """Return the parts that are not read yet, and drop the others."""
-        if any(unread.by_s <= now_s for unread in self.unread.values()):
+        if any(unread.read_by_s <= now_s for unread in self.unread.values()):
             self.unread = {
                 key: unread
                 for key, unread in self.unread.items()
-                if unread.by_s > now_s
+                if unread.read_by_s > now_s
             }
         return list(self.unread.values())
--- a/lycheetide/gossip/tests/test_delays.py
+++ b/lycheetide/gossip/tests/test_delays.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lycheetide.gossip import Delays, make_sent_ms
+from lycheetide.gossip import DelayEstimator, make_sent_ms
 
 STEP_S = 0.01
 
@@ -24,7 +24,7 @@
     Nodes that took this state for current all chose the same replica.
     """
     rng = random.Random(1)
-    delays = Delays()
+    delays = DelayEstimator()
     for place, offset_s in enumerate((5.0, 7_000.0)):
         send(delays, f"n{place}", lambda: 0.003, begin_s=0.0, steps=50,
              offset_s=offset_s)  # fmt: skip
@@ -37,14 +37,14 @@
 
 def test_a_clock_that_was_stopped_is_no_delay_for_long():
     """The clock of a suspended node stops, so its messages look seconds old later."""
-    delays = Delays()
+    delays = DelayEstimator()
     end_s = send(delays, "n", lambda: 0.003, begin_s=0.0, steps=50, offset_s=5.0)
     end_s = send(delays, "n", lambda: 0.003, begin_s=end_s, steps=2_500, offset_s=2.0)
     assert delays.mean_s() < 0.01
 
 
 def test_nodes_that_are_gone_are_forgotten():
-    delays = Delays()
+    delays = DelayEstimator()
     send(delays, "gone", lambda: 0.003, begin_s=0.0, steps=2, offset_s=0.0)
-    delays.forget({"here"})
+    delays.drop_absent({"here"})
     assert delays._minimums == {}
--- a/lycheetide/gossip/tests/test_queue.py
+++ b/lycheetide/gossip/tests/test_queue.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lycheetide.gossip import MemoryQueue, Waiting
+from lycheetide.gossip import MemoryQueue, WaitingRequest
 
 CAPACITY = 600_000
 POLL_S = 0.1
@@ -82,7 +82,7 @@
             self.schedule(now_s + holds_s, self.free_memory, tokens)
             return
         if not waiting:
-            place = Waiting(node.queue.take_number(), node.name, name, tokens)
+            place = WaitingRequest(node.queue.next_number(), node.name, name, tokens)
             waiting[:] = [place, float("-inf")]
         if now_s - waiting[1] >= RENEW_S:
             waiting[1] = now_s
@@ -140,8 +140,8 @@
 def test_a_prompt_whose_node_died_is_forgotten_soon():
     """A node dies with a waiting prompt, and the others would wait for it for ever."""
     queue = MemoryQueue()
-    queue.note(Waiting(1, "dead", "1", 500_000), now_s=0.0)
-    behind = Waiting(2, "n", "1", 500_000)
+    queue.note(WaitingRequest(1, "dead", "1", 500_000), now_s=0.0)
+    behind = WaitingRequest(2, "n", "1", 500_000)
     queue.note(behind, now_s=0.5)
     assert [one.node for one in queue.list_ahead(behind, now_s=1.0)] == ["dead"]
     assert queue.list_ahead(behind, now_s=1.5) == []
@@ -149,6 +149,6 @@
 
 def test_numbers_only_rise():
     queue = MemoryQueue()
-    queue.note(Waiting(7, "a", "1", 1), now_s=0.0)
+    queue.note(WaitingRequest(7, "a", "1", 1), now_s=0.0)
     queue.drop("a", "1")
-    assert queue.take_number() == 8
+    assert queue.next_number() == 8
--- a/lycheetide/model/_relay_simulation.py
+++ b/lycheetide/model/_relay_simulation.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from lycheetide.gossip import Board, Job, Part
+from lycheetide.gossip import Job, JobPart, JobTable
 from lycheetide.model._passes import DecodeTask, PassEngine, PrefillTask
 from lycheetide.model._relay_policies import PlacementQuery
 from lycheetide.placement import (
@@ -178,7 +178,7 @@
         self.model = model
         self.policy = policy
         self.rng = random.Random(f"{random_state}/policy")
-        self.board = Board()
+        self.job_table = JobTable()
         names = [f"r{number}" for number in range(model.replicas)]
         self.ranks = rank_replicas(names)
         self.engines = {
@@ -210,7 +210,7 @@
                 candidates=self.list_candidates(now_s),
                 target_s=request.kind.target_s,
                 patience_s=request.patience_s,
-                starts_per_s=self.board.starts_per_s(now_s=now_s),
+                starts_per_s=self.job_table.starts_per_s(now_s=now_s),
                 shortest_target_s=min(kind.target_s for kind in self.model.kinds),
                 gossip_delay_s=self.model.gossip_delay_s,
                 nodes=self.model.nodes,
@@ -232,7 +232,7 @@
             kv_tokens_by_replica.values()
         )
         parts = tuple(
-            Part(
+            JobPart(
                 reader.id,
                 part_s,
                 kv_tokens_by_replica.get(reader.id, 0),
@@ -245,7 +245,7 @@
             now_s + request.kind.target_s, request.kind.gap_s, size.weight,
         )  # fmt: skip
         known_s = now_s + self.model.gossip_delay_s
-        self.schedule(known_s, lambda at_s: self.board.start(job, now_s=at_s))
+        self.schedule(known_s, lambda at_s: self.job_table.start(job, now_s=at_s))
         pending_parts = [len(readers)]
 
         def on_part_done(at_s):
@@ -277,7 +277,7 @@
             self.engines[name].cancel(read, is_first=name == tasks[0][0])
         self.schedule(
             now_s + self.model.gossip_delay_s,
-            lambda t: self.board.end("n", job.id, now_s=t),
+            lambda t: self.job_table.end("n", job.id, now_s=t),
         )
 
     def start_answer(self, now_s, request, events, job, name):
@@ -295,7 +295,9 @@
             if is_last:
                 request.is_complete = True
                 known_s = at_s + self.model.gossip_delay_s
-                self.schedule(known_s, lambda t: self.board.end("n", job.id, now_s=t))
+                self.schedule(
+                    known_s, lambda t: self.job_table.end("n", job.id, now_s=t)
+                )
 
         self.engines[name].begin_decoding(DecodeTask(events, request.tokens, on_event))
         self.begin_pass_if_idle(now_s, name)
@@ -320,18 +322,18 @@
                 address=name,
                 rank=rank,
                 slots=self.model.engine.slots,
-                writers=column.writers,
-                writing=tuple(GapGroup(*row) for row in column.weights.items()),
-                helping=column.helping,
-                backlog_s=self.board.backlog_s(name, now_s=now_s),
+                writers=workload.writers,
+                writing=tuple(GapGroup(*row) for row in workload.weights.items()),
+                helping=workload.helping,
+                backlog_s=self.job_table.backlog_s(name, now_s=now_s),
                 unread=tuple(
-                    UnreadPrompt(prompt.due_s - prompt.by_s, prompt.weight)
-                    for prompt in self.board.unread(name, now_s=now_s)
+                    UnreadPrompt(prompt.due_s - prompt.read_by_s, prompt.weight)
+                    for prompt in self.job_table.unread(name, now_s=now_s)
                 ),
-                kv_tokens=column.kv_tokens,
+                kv_tokens=workload.kv_tokens,
             )
             for name, rank in self.ranks.items()
-            for column in (self.board.column(name),)
+            for workload in (self.job_table.workload(name),)
         ]
 
 
--- a/lycheetide/placement/tests/test_herd.py
+++ b/lycheetide/placement/tests/test_herd.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from lycheetide.gossip import Board, Job
+from lycheetide.gossip import Job, JobTable
 from lycheetide.model import DENSE_ENGINE
 from lycheetide.placement import (
     Candidate,
@@ -82,11 +82,11 @@
 
 
 def measure_rate(begins_s, now_s):
-    """Return the rate of starts over a second or a burst, as ``Board`` measures it."""
-    board = Board()
+    """Return the start rate over a second or a burst, as ``JobTable`` measures it."""
+    job_table = JobTable()
     for begin_s in sorted(begins_s):
-        board.start(Job(f"{begin_s}", "n", (), begin_s, now_s), now_s=begin_s)
-    return board.starts_per_s(now_s=now_s)
+        job_table.start(Job(f"{begin_s}", "n", (), begin_s, now_s), now_s=begin_s)
+    return job_table.starts_per_s(now_s=now_s)
 
 
 def simulate(fleet, *, seed=1, oracle=False):
--- a/lycheetide/placement/tests/test_news.py
+++ b/lycheetide/placement/tests/test_news.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lycheetide.gossip import START_WINDOW_S, Board, Started, make_job
-from lycheetide.gossip._messages import Part
+from lycheetide.gossip import START_WINDOW_S, JobTable, Started, make_job
+from lycheetide.gossip._messages import JobPart
 from lycheetide.placement import NEWS_S, may_send, share_cold_limits
 
 REPLICA = "r"
@@ -32,7 +32,7 @@
         self.count = len(nodes)
         self.limit_per_s = limit_per_s
         self.allowance = share_cold_limits(name, nodes)(limit_per_s, REPLICA)
-        self.board = Board()
+        self.job_table = JobTable()
         self.starts_s: deque[float] = deque()
         self.sent = 0
 
@@ -45,7 +45,9 @@
             allowance=self.allowance,
             own_starts=len(self.starts_s),
             own_recent=sum(now_s - at_s < NEWS_S for at_s in self.starts_s),
-            all_starts=self.board.starts_within(REPLICA, START_WINDOW_S, now_s=now_s),
+            all_starts=self.job_table.starts_within(
+                REPLICA, START_WINDOW_S, now_s=now_s
+            ),
             nodes=self.count,
             is_cold=is_cold,
             is_last_resort=True,
@@ -55,14 +57,14 @@
         """Send a request, and return the message that announces it to the others."""
         self.sent += 1
         self.starts_s.append(now_s)
-        started = Started(self.name, str(self.sent), (Part(REPLICA, 0.0),), 100)
+        started = Started(self.name, str(self.sent), (JobPart(REPLICA, 0.0),), 100)
         self.receive(started, now_s)
         return started
 
     def receive(self, message, now_s):
         """Record a request that this node or another one has sent."""
-        self.board.start(make_job(message, now_s=now_s), now_s=now_s)
-        self.board.end(message.node, message.job, now_s=now_s)
+        self.job_table.start(make_job(message, now_s=now_s), now_s=now_s)
+        self.job_table.end(message.node, message.job, now_s=now_s)
 
 
 def simulate(count, limit_per_s, *, seed, delay_s, busy=1.0, rate_per_s=100.0):
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from lycheetide.exchange import Answer
-from lycheetide.gossip import Ended, Part, Started, make_job, make_sent_ms
+from lycheetide.gossip import Ended, JobPart, Started, make_job, make_sent_ms
 from lycheetide.httpclient import ChannelBroken, ConnectFailed, count_kept
 from lycheetide.placement import Placement
 from lycheetide.relay._call import find_admission_priority
@@ -36,12 +36,12 @@
     """Return the cost of a request at each replica that takes part in it."""
     read_s = placement.part_read_s
     held_tokens = sum(share.tokens for share in placement.holders)
-    parts = [Part(placement.first.id, read_s, call.size.tokens - held_tokens, True)]
+    parts = [JobPart(placement.first.id, read_s, call.size.tokens - held_tokens, True)]
     parts += [
-        Part(share.replica.id, read_s, share.tokens, False)
+        JobPart(share.replica.id, read_s, share.tokens, False)
         for share in placement.holders
     ]
-    parts += [Part(helper.id, read_s, 0, False) for helper in placement.helpers]
+    parts += [JobPart(helper.id, read_s, 0, False) for helper in placement.helpers]
     return tuple(parts)
 
 
@@ -62,18 +62,18 @@
         relay.node,
         job_id,
         make_parts(call, placement),
-        lasts_ms=round(expires_in_s * 1e3),
+        expires_in_ms=round(expires_in_s * 1e3),
         due_in_ms=round((due_s - now_s) * 1e3),
         gap_ms=round(call.route.target_gap_s * 1e3),
         weight_hundredths=round(call.size.weight * 100),
         sent_ms=make_sent_ms(now_s),
     )
-    relay.board.start(make_job(started, now_s=now_s), now_s=now_s)
+    relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
     relay.tell_work(started)
     try:
         yield job_id
     finally:
-        relay.board.end(relay.node, job_id, now_s=read_clock())
+        relay.job_table.end(relay.node, job_id, now_s=read_clock())
         relay.tell_work(Ended(relay.node, job_id))
 
 
@@ -87,12 +87,12 @@
     started = Started(
         relay.node,
         job_id,
-        (Part(replica, 0.0),),
-        lasts_ms=0,
+        (JobPart(replica, 0.0),),
+        expires_in_ms=0,
         sent_ms=make_sent_ms(now_s),
     )
-    relay.board.start(make_job(started, now_s=now_s), now_s=now_s)
-    relay.board.end(relay.node, job_id, now_s=now_s)
+    relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
+    relay.job_table.end(relay.node, job_id, now_s=now_s)
     relay.tell_work(started)
     relay.tell_work(Ended(relay.node, job_id))
 
--- a/lycheetide/relay/_datagrams.py
+++ b/lycheetide/relay/_datagrams.py
@@ -26,10 +26,10 @@
 
     Examples
     --------
-    >>> from lycheetide.gossip import Ended, Hello, encode_message
+    >>> from lycheetide.gossip import Ended, Heartbeat, encode_message
     >>> classify_datagram(encode_message(Ended("n", "1")))
     'work'
-    >>> classify_datagram(encode_message(Hello("", "", "", "", 0, 0, 0.0)))
+    >>> classify_datagram(encode_message(Heartbeat("", "", "", "", 0, 0, 0.0)))
     'greetings'
     """
     tag_offset = 4 if data[0] == MSGPACK_ARRAY16 else 2
--- a/lycheetide/relay/_evidence.py
+++ b/lycheetide/relay/_evidence.py
@@ -12,7 +12,7 @@
 
     A replica that is already suspected was reported and logged when that began.
     """
-    if not relay.trust.suspect(replica, now_s=read_clock()):
+    if not relay.failure_detector.suspect(replica, now_s=read_clock()):
         return
     relay.tell_work(Suspected(relay.node, replica))
     relay.counters.add("replicas.suspected")
@@ -26,7 +26,7 @@
     kept its observations to itself, streams would move from one dead replica to the
     next.
     """
-    if relay.trust.doubt(replica, now_s=read_clock()):
+    if relay.failure_detector.doubt(replica, now_s=read_clock()):
         relay.tell_work(Doubted(relay.node, replica))
         relay.counters.add("replicas.doubted")
 
@@ -34,7 +34,7 @@
 def note_answer(relay, replica, answer):
     """Record what a response head shows about its replica and about others."""
     now_s = read_clock()
-    relay.trust.hear(replica, now_s=now_s)
+    relay.failure_detector.hear(replica, now_s=now_s)
     if answer.is_unstarted and answer.at_fault:
         for known in list(relay.replicas.replicas.values()):
             if answer.at_fault in (known.entry.id, known.entry.address):
@@ -86,8 +86,8 @@
         replica, omitted if neither ever had; ``reads_ms``: time for which it will still
         be reading prompts.
     """
-    fields = {"reads_ms": round(relay.board.backlog_s(replica, now_s=now_s) * 1e3)}
-    heard_s = relay.trust.heard_s(replica)
-    if math.isfinite(heard_s):
-        fields["heard_ms"] = round((now_s - heard_s) * 1e3)
+    fields = {"reads_ms": round(relay.job_table.backlog_s(replica, now_s=now_s) * 1e3)}
+    last_heard_s = relay.failure_detector.last_heard_s(replica)
+    if math.isfinite(last_heard_s):
+        fields["heard_ms"] = round((now_s - last_heard_s) * 1e3)
     return fields
--- a/lycheetide/relay/_gossip.py
+++ b/lycheetide/relay/_gossip.py
@@ -8,14 +8,14 @@
 from lycheetide.exchange import StoreUnavailable
 from lycheetide.gossip import (
     Bundle,
-    Changed,
     Doubted,
     Ended,
-    Hello,
+    Heartbeat,
+    MemoryWanted,
+    RegistryUpdate,
     Started,
     Suspected,
-    Waiting,
-    Wants,
+    WaitingRequest,
     decode_message,
     encode_message,
     make_job,
@@ -216,7 +216,7 @@
             is_large_fleet(self.relay, now_s=now_s) and is_hub(self.relay, now_s=now_s)
         ):
             return ()
-        heard = self.relay.peers.heard_directly(
+        heard = self.relay.peers.list_heard_directly(
             now_s=now_s, within_s=TO_OWN_HUB_INTERVAL_S + HEARTBEAT_INTERVAL_S
         )
         orders = [peer.order for peer in heard]
@@ -228,10 +228,10 @@
         """Return a heartbeat message with this node's state."""
         relay = self.relay
         since_s = now_s - 1.0
-        heard = relay.trust.list_answered(since_s=since_s)
+        heard = relay.failure_detector.list_answered(since_s=since_s)
         knows_few = not relay.peers.alive(now_s=now_s)
-        jobs = tuple(relay.board.running(relay.node))
-        return Hello(
+        jobs = tuple(relay.job_table.running(relay.node))
+        return Heartbeat(
             fleet=relay.peers.fleet,
             node=relay.node,
             address=relay.settings.peer_address,
@@ -248,7 +248,7 @@
             living=() if peers else self._list_vouched(now_s=now_s),
             jobs=jobs if len(jobs) <= MAX_REQUESTS_LISTED else None,
             link_mbps=round(relay.settings.link_mbps),
-            reads_store=relay.reads_store,
+            is_store_reachable=relay.is_store_reachable,
         )
 
     def close(self):
@@ -284,41 +284,41 @@
 
     def handle_message(self, message, *, now_s):
         """Process one message."""
-        board = self.relay.board
+        job_table = self.relay.job_table
         match message:
             case Started():
-                board.start(make_job(message, now_s=now_s), now_s=now_s)
+                job_table.start(make_job(message, now_s=now_s), now_s=now_s)
                 if message.sent_ms >= 0 and message.node != self.relay.node:
                     delays = self.relay.delays
                     delays.note(message.node, message.sent_ms, now_s=now_s)
             case Ended(node, job):
-                board.end(node, job, now_s=now_s)
+                job_table.end(node, job, now_s=now_s)
                 self.relay.memory_queue.drop(node, job)
-            case Wants(node, job, number, tokens):
-                waiting = Waiting(number, node, job, tokens)
+            case MemoryWanted(node, job, number, tokens):
+                waiting = WaitingRequest(number, node, job, tokens)
                 self.relay.memory_queue.note(waiting, now_s=now_s)
             case Suspected(_, replica):
-                self.relay.trust.suspect(replica, now_s=now_s)
+                self.relay.failure_detector.suspect(replica, now_s=now_s)
             case Doubted(_, replica):
-                self.relay.trust.doubt(replica, now_s=now_s)
-            case Bundle(_, messages, spreads):
+                self.relay.failure_detector.doubt(replica, now_s=now_s)
+            case Bundle(_, messages, must_forward):
                 for one in messages:
                     self.handle_message(one, now_s=now_s)
-                    if spreads:
+                    if must_forward:
                         self.broadcaster.add_to_bundle(one)
-            case Changed():
+            case RegistryUpdate():
                 apply_peer_changes(self.relay, message, now_s=now_s)
-            case Hello():
+            case Heartbeat():
                 self._handle_heartbeat(message, now_s=now_s)
 
     def _is_from_this_fleet(self, message):
         """Tell whether a message comes from a node of this fleet.
 
         Addresses are reused. A node of another fleet that received an old address would
-        fill this fleet's board with its requests, and its configuration might be
+        fill this fleet's job table with its requests, and its configuration might be
         adopted.
         """
-        if isinstance(message, Hello):
+        if isinstance(message, Heartbeat):
             return message.fleet == self.relay.peers.fleet
         return self.relay.peers.is_peer(message.node)
 
@@ -329,19 +329,19 @@
             return
         is_new = relay.peers.hear(heartbeat, now_s=now_s)
         self._new_peer_count += is_new
-        relay.peers.vouch(heartbeat.living, now_s=now_s)
+        relay.peers.hear_indirectly(heartbeat.living, now_s=now_s)
         if heartbeat.operator_offset > relay.operator.offset:
             relay.operator_update.set()
         if heartbeat.jobs is not None:
-            lost = relay.board.settle(
+            lost = relay.job_table.reconcile(
                 heartbeat.node, frozenset(heartbeat.jobs), now_s=now_s
             )
             if lost:
                 relay.counters.add("peers.lost_ends", lost)
         for replica in heartbeat.heard:
-            relay.trust.hear_of(replica, now_s=now_s)
+            relay.failure_detector.note_peer_report(replica, now_s=now_s)
         for address in heartbeat.peers:
-            relay.peers.learn(address, now_s=now_s)
+            relay.peers.add_address(address, now_s=now_s)
         record_outage_end(relay, heartbeat.returned_age_s, now_s=now_s)
         if compare_digests(relay, heartbeat, now_s=now_s):
             relay.digest_differs_since_s = now_s
@@ -395,9 +395,9 @@
             was_behind = is_behind
             living = self.relay.living_nodes(now_s=now_s)
             dead = self.relay.peers.list_dead(now_s=now_s)
-            self.relay.board.expire(now_s=now_s, dead=dead)
+            self.relay.job_table.expire(now_s=now_s, dead=dead)
             self.relay.drop_gone_replicas(now_s=now_s)
-            self.relay.delays.forget(living)
+            self.relay.delays.drop_absent(living)
             self._log_new_peers(len(living))
             self.relay.used.log(self.relay, now_s=now_s)
             await self.relay.pool.sweep(now_s=now_s)
@@ -417,7 +417,9 @@
     store = relay.make_store_client("nodes")
     address = relay.settings.peer_address
     for seed in relay.settings.seed_hosts:
-        relay.peers.learn(f"{seed}:{address.rpartition(':')[2]}", now_s=read_clock())
+        relay.peers.add_address(
+            f"{seed}:{address.rpartition(':')[2]}", now_s=read_clock()
+        )
     relay.trigger_heartbeat()
     is_written = False
     while True:
@@ -435,7 +437,7 @@
             await anyio.sleep(DISCOVER_RETRY_S)
             continue
         for record in batch.records:
-            relay.peers.learn(record.key, now_s=read_clock())
+            relay.peers.add_address(record.key, now_s=read_clock())
         await store.aclose()
         relay.trigger_heartbeat()
         return
--- a/lycheetide/relay/_patience.py
+++ b/lycheetide/relay/_patience.py
@@ -135,9 +135,12 @@
         Seconds; infinite if this node or a peer received something from the replica
         recently, at most 0 if it counts as dead.
     """
-    if relay.trust.heard_s(replica) >= now_s - PEER_REPORT_S - SILENCE_MARGIN_S:
+    if (
+        relay.failure_detector.last_heard_s(replica)
+        >= now_s - PEER_REPORT_S - SILENCE_MARGIN_S
+    ):
         return float("inf")
-    return relay.board.column(replica).busy_until_s + SILENCE_MARGIN_S - now_s
+    return relay.job_table.workload(replica).busy_until_s + SILENCE_MARGIN_S - now_s
 
 
 def record_hedge(relay, call, replica):
--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_place.py
@@ -63,7 +63,9 @@
     if limit <= 0:
         return True
     own_starts = relay.own_starts(candidate.id, START_WINDOW_S, now_s=now_s)
-    all_starts = relay.board.starts_within(candidate.id, START_WINDOW_S, now_s=now_s)
+    all_starts = relay.job_table.starts_within(
+        candidate.id, START_WINDOW_S, now_s=now_s
+    )
     if not (candidate.is_cold or own_starts or all_starts):
         # True of most replicas in a large fleet. Skips the computation of this node's
         # share for each of them, which would dominate the cost of a placement.
@@ -135,7 +137,7 @@
         arrivals=estimate_arrivals(relay, call, candidates, now_s=now_s),
         helpers_most=0 if call.helpers_refused else HELPERS_MOST,
         unknown=count_unknown(
-            relay.board.starts_per_s(now_s=now_s),
+            relay.job_table.starts_per_s(now_s=now_s),
             find_told_s(relay, now_s=now_s),
             len(relay.peers.alive(now_s=now_s)) + 1,
         ),
@@ -146,7 +148,7 @@
 def estimate_arrivals(relay, call, candidates, *, now_s):
     """Return the request rate and the shortest target of a call's service."""
     starts = sum(
-        relay.board.starts_within(one.id, START_WINDOW_S, now_s=now_s)
+        relay.job_table.starts_within(one.id, START_WINDOW_S, now_s=now_s)
         for one in candidates
     )
     target_s = relay.table.find_shortest_target_s(call.service.name)
--- a/lycheetide/relay/_sharing.py
+++ b/lycheetide/relay/_sharing.py
@@ -9,7 +9,7 @@
 """
 
 from lycheetide.exchange import Batch, Record
-from lycheetide.gossip import Changed, Peer
+from lycheetide.gossip import Peer, RegistryUpdate
 
 FRESH_S = 1.1
 """Age at which a hub reads the registry again: a heartbeat interval of 0.3 s, a read
@@ -76,7 +76,7 @@
     return not relay.registry.failures and all(
         relay.place < hub.place
         for hub in hubs.values()
-        if hub is not None and hub.reads_store
+        if hub is not None and hub.is_store_reachable
     )
 
 
@@ -92,7 +92,7 @@
     before = sum(
         peer.place < relay.place
         for peer in relay.peers.alive(now_s=now_s, within_s=HUB_SILENT_S)
-        if not peer.is_leaving and peer.reads_store
+        if not peer.is_leaving and peer.is_store_reachable
     )
     return before < OPERATOR_READERS
 
@@ -121,12 +121,12 @@
         record = relay.registry.records.get(change.id)
         value = record.value if record is not None and change.entry else None
         if records and size + len(value or b"") > MAX_MESSAGE_BYTES:
-            yield Changed(relay.node, tuple(records), returned_age_s)
+            yield RegistryUpdate(relay.node, tuple(records), returned_age_s)
             records, size = [], 0
         records.append((change.offset, change.id, value))
         size += len(value or b"") + len(change.id)
     if records:
-        yield Changed(relay.node, tuple(records), returned_age_s)
+        yield RegistryUpdate(relay.node, tuple(records), returned_age_s)
 
 
 def decode_change_message(message):
--- a/lycheetide/relay/_spreading.py
+++ b/lycheetide/relay/_spreading.py
@@ -61,7 +61,7 @@
         if not is_large_fleet(self.relay, now_s=now_s):
             self.broadcast(message)
             return
-        data = encode_message(Bundle(self.relay.node, (message,), spreads=True))
+        data = encode_message(Bundle(self.relay.node, (message,), must_forward=True))
         for hub in find_hubs(self.relay, now_s=now_s).values():
             if hub is None:
                 self.add_to_bundle(message)
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -10,11 +10,11 @@
 
 from lycheetide.gossip import (
     START_WINDOW_S,
-    Board,
-    Delays,
+    DelayEstimator,
+    FailureDetector,
+    JobTable,
     MemoryQueue,
-    Peers,
-    Trust,
+    PeerTable,
     order_node,
 )
 from lycheetide.httpclient import ChannelPool
@@ -103,11 +103,11 @@
         self.operator = TopicState({})
         self.registry = TopicState({})
         self.replicas = ReplicaTable()
-        self.board = Board()
-        self.trust = Trust()
-        self.delays = Delays()
+        self.job_table = JobTable()
+        self.failure_detector = FailureDetector()
+        self.delays = DelayEstimator()
         self.memory_queue = MemoryQueue()
-        self.peers = Peers(settings.peer_address, fleet=settings.store_address)
+        self.peers = PeerTable(settings.peer_address, fleet=settings.store_address)
         self.pool = ChannelPool()
         self.standstill = Standstill()
         self.started_s = read_clock()
@@ -153,7 +153,7 @@
         return -round(self.settings.link_mbps), self.order
 
     @property
-    def reads_store(self):
+    def is_store_reachable(self):
         """Whether this node's last reads of the store succeeded."""
         return not (self.registry.failures or self.operator.failures)
 
@@ -230,8 +230,8 @@
         present = self.replicas.replicas
         for replica in set(self._idle_candidates) - set(present):
             del self._idle_candidates[replica]
-        self.board.forget(present, now_s=now_s)
-        self.trust.forget(present, now_s=now_s)
+        self.job_table.drop_absent(present, now_s=now_s)
+        self.failure_detector.drop_absent(present, now_s=now_s)
         for replica in [name for name in self._own_starts if name not in present]:
             if not self.own_starts(replica, START_WINDOW_S, now_s=now_s):
                 del self._own_starts[replica]
@@ -249,13 +249,13 @@
         """
         if self.is_leaving or self.table is None or not self.replicas.replicas:
             return False
-        heard_s = max(
+        last_heard_s = max(
             [
                 self.operator.read_s,
-                *(peer.heard_s for peer in self.peers.peers.values()),
+                *(peer.last_heard_s for peer in self.peers.peers.values()),
             ]
         )
-        return now_s - heard_s < self.settings.out_of_touch_s
+        return now_s - last_heard_s < self.settings.out_of_touch_s
 
     def candidates(self, service, *, now_s, without=frozenset(), homes=()):
         """Return the replicas of a service that accept work, with their load.
@@ -278,8 +278,8 @@
         ranks = self._rank(frozenset(replica.entry.id for replica in usable))
         usable = drop_dark_domains(
             usable,
-            troubled_s=self.trust.troubled_s,
-            answered_s=self.trust.answered_s,
+            troubled_s=self.failure_detector.last_failure_s,
+            answered_s=self.failure_detector.last_answer_s,
             now_s=now_s,
         )
         usable = [replica for replica in usable if replica.entry.id not in without]
@@ -292,7 +292,7 @@
         trusted = [
             replica
             for replica in usable
-            if not self.trust.is_suspect(replica.entry.id, now_s=now_s)
+            if not self.failure_detector.is_suspect(replica.entry.id, now_s=now_s)
         ]
         return [
             self._make_candidate(replica, ranks[replica.entry.id], now_s=now_s)
@@ -312,25 +312,25 @@
     def _make_candidate(self, replica, rank, *, now_s):
         """Return a replica with its load; in a large fleet most replicas have none."""
         entry = replica.entry
-        column = self.board.column(entry.id)
-        is_recovering = self.trust.is_recovering(entry.id, now_s=now_s)
+        workload = self.job_table.workload(entry.id)
+        is_recovering = self.failure_detector.is_recovering(entry.id, now_s=now_s)
         is_cold = replica.is_cold(now_s=now_s)
-        if column.is_idle(now_s=now_s) and not (is_recovering or is_cold):
+        if workload.is_idle(now_s=now_s) and not (is_recovering or is_cold):
             return self._make_idle_candidate(entry, rank)
         return Candidate(
             id=entry.id,
             address=entry.address,
             rank=rank,
             slots=entry.slots,
-            writers=column.writers,
-            writing=tuple(GapGroup(*row) for row in column.weights.items()),
-            helping=column.helping,
-            backlog_s=self.board.backlog_s(entry.id, now_s=now_s),
+            writers=workload.writers,
+            writing=tuple(GapGroup(*row) for row in workload.weights.items()),
+            helping=workload.helping,
+            backlog_s=self.job_table.backlog_s(entry.id, now_s=now_s),
             unread=tuple(
-                UnreadPrompt(one.due_s - one.by_s, one.weight)
-                for one in self.board.unread(entry.id, now_s=now_s)
+                UnreadPrompt(one.due_s - one.read_by_s, one.weight)
+                for one in self.job_table.unread(entry.id, now_s=now_s)
             ),
-            kv_tokens=column.kv_tokens,
+            kv_tokens=workload.kv_tokens,
             is_near=entry.failure_domain == self.settings.failure_domain,
             is_recovering=is_recovering,
             is_cold=is_cold,
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -282,10 +282,10 @@
         if data is None:
             break
         stream_attempt.at_s = read_clock()
-        relay.trust.hear(stream_attempt.replica, now_s=stream_attempt.at_s)
+        relay.failure_detector.hear(stream_attempt.replica, now_s=stream_attempt.at_s)
         if not stream_attempt.has_data:
             stream_attempt.has_data = True
-            relay.board.note_read(
+            relay.job_table.note_read(
                 relay.node, stream_attempt.job_id, now_s=stream_attempt.at_s
             )
         for event in splitter.split(data):
--- a/lycheetide/relay/_take.py
+++ b/lycheetide/relay/_take.py
@@ -180,7 +180,7 @@
 def is_starting(relay, *, now_s):
     """Tell whether this node has just started and is still discovering its peers."""
     is_new = now_s - relay.started_s < STARTUP_S
-    return is_new and now_s - relay.peers.grown_s < PEERS_SETTLED_S
+    return is_new and now_s - relay.peers.last_new_peer_s < PEERS_SETTLED_S
 
 
 def record_outage_end(relay, age_s, *, now_s):
--- a/lycheetide/relay/_tickets.py
+++ b/lycheetide/relay/_tickets.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from lycheetide.gossip import Ended, Waiting, Wants
+from lycheetide.gossip import Ended, MemoryWanted, WaitingRequest
 from lycheetide.httpclient import ChannelBroken, ConnectFailed
 from lycheetide.placement import Placement, count_room, needs_sharing
 from lycheetide.relay._evidence import suspect
@@ -153,8 +153,8 @@
     def enqueue(self, *, now_s):
         """Join the queue, or announce to all nodes that this call still waits."""
         if self.waiting is None:
-            number = self.relay.memory_queue.take_number()
-            self.waiting = Waiting(
+            number = self.relay.memory_queue.next_number()
+            self.waiting = WaitingRequest(
                 number, self.relay.node, self.relay.next_job(), self.call.size.tokens
             )
         if now_s - self.announced_s < ANNOUNCE_INTERVAL_S:
@@ -162,7 +162,7 @@
         self.announced_s = now_s
         one = self.waiting
         self.relay.memory_queue.note(one, now_s=now_s)
-        self.relay.tell_work(Wants(one.node, one.job, one.number, one.tokens))
+        self.relay.tell_work(MemoryWanted(one.node, one.job, one.number, one.tokens))
 
     def leave(self):
         """Leave the queue."""
--- a/lycheetide/relay/tests/test_answers.py
+++ b/lycheetide/relay/tests/test_answers.py
@@ -6,7 +6,7 @@
 import httpx
 import pytest
 
-from lycheetide.gossip import Job, Part
+from lycheetide.gossip import Job, JobPart
 from standins.http import LOOPBACK, Answer, Reset
 from standins.local import find_port
 from standins.relayed import CUSTOMER, KEY, Relayed, make_config
@@ -111,9 +111,9 @@
                 await anyio.sleep(0.002)
             now_s = time.monotonic()
             for replica in fleet.replicas:
-                parts = (Part(replica.name, 5.0, 100),)
+                parts = (JobPart(replica.name, 5.0, 100),)
                 job = Job("j", f"other-{replica.name}", parts, now_s, now_s + 20.0)
-                relay.board.start(job, now_s=now_s)
+                relay.job_table.start(job, now_s=now_s)
 
         relay.living_nodes = lambda now_s: {
             relay.node, *(f"other-{replica.name}" for replica in fleet.replicas)
@@ -297,9 +297,9 @@
         (relay,) = fleet.relays
         now_s = time.monotonic()
         for replica in fleet.replicas:
-            parts = (Part(replica.name, 5.0, 100),)
+            parts = (JobPart(replica.name, 5.0, 100),)
             job = Job("j", f"other-{replica.name}", parts, now_s, now_s + 20.0)
-            relay.board.start(job, now_s=now_s)
+            relay.job_table.start(job, now_s=now_s)
         relay.living_nodes = lambda now_s: {
             relay.node, *(f"other-{replica.name}" for replica in fleet.replicas)
         }  # fmt: skip
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lycheetide.gossip import START_WINDOW_S, Started
-from lycheetide.gossip._messages import Part
+from lycheetide.gossip._messages import JobPart
 from lycheetide.relay._place import list_candidates
 from lycheetide.relay._serve import make_call
 from standins.relayed import HOST, KEY, Relayed
@@ -57,8 +57,8 @@
         await wait_for_peers(fleet)
         first, stalled = fleet.relays
         for number in range(USABLE_PER_S):
-            parts = (Part("r-0", 0.0),)
-            first.tell_work(Started(first.node, f"x{number}", parts, lasts_ms=500))
+            parts = (JobPart("r-0", 0.0),)
+            first.tell_work(Started(first.node, f"x{number}", parts, expires_in_ms=500))
         # Nothing was awaited since, so no node has read a message yet.
         open_now, usable = list_candidates(stalled, make_lookup(stalled))
     assert {one.id for one in usable} == {"r-0", "r-1"}
@@ -89,7 +89,7 @@
         late.note_start = keep_start
         assert (await fleet.look()).status_code == 200
         await anyio.sleep(sent_s[0] + 0.85 - time.monotonic())
-        counted = other.board.starts_within(
+        counted = other.job_table.starts_within(
             "r-0", START_WINDOW_S, now_s=time.monotonic()
         )
     assert len(sent_s) == 1
@@ -108,10 +108,12 @@
         (replica,) = fleet.replicas
         assert (await fleet.look()).status_code == 200
         replica.drops_kept = True
-        before = other.board.starts_within(
+        before = other.job_table.starts_within(
             "r-0", START_WINDOW_S, now_s=time.monotonic()
         )
         assert (await fleet.look()).status_code == 200
         await anyio.sleep(0.1)
-        after = other.board.starts_within("r-0", START_WINDOW_S, now_s=time.monotonic())
+        after = other.job_table.starts_within(
+            "r-0", START_WINDOW_S, now_s=time.monotonic()
+        )
     assert (before, after) == (1, 3)
--- a/lycheetide/relay/tests/test_first_news.py
+++ b/lycheetide/relay/tests/test_first_news.py
@@ -39,7 +39,7 @@
         await anyio.sleep(alone_s)
         assert late.table is None
         address = fleet.relays[0].settings.peer_address
-        late.peers.learn(address, now_s=time.monotonic())
+        late.peers.add_address(address, now_s=time.monotonic())
         late.trigger_heartbeat()
         took_s = await fleet.wait_for(
             lambda: late.is_ready(now_s=time.monotonic()), timeout_s=4.0
--- a/lycheetide/relay/tests/test_knowledge.py
+++ b/lycheetide/relay/tests/test_knowledge.py
@@ -285,7 +285,7 @@
         fleet.store.down = "busy"
         relay = await fleet.start_relay(wait=False)
         address = fleet.relays[0].settings.peer_address
-        relay.peers.learn(address, now_s=time.monotonic())
+        relay.peers.add_address(address, now_s=time.monotonic())
         await fleet.wait_for(lambda: relay.table and relay.replicas.replicas)
         assert (await fleet.look(relay=1)).status_code == 200
 
@@ -330,8 +330,8 @@
     async with Relayed() as fleet, Relayed(config=make_config(version=99)) as other:
         ours, strange = fleet.relays[0], other.relays[0]
         now_s = time.monotonic()
-        ours.peers.learn(strange.settings.peer_address, now_s=now_s)
-        strange.peers.learn(ours.settings.peer_address, now_s=now_s)
+        ours.peers.add_address(strange.settings.peer_address, now_s=now_s)
+        strange.peers.add_address(ours.settings.peer_address, now_s=now_s)
         await fleet.wait_for(lambda: ours.counters.counts["peers.strange_datagram"])
         await anyio.sleep(0.4)
         assert ours.peers.alive(now_s=now_s) == []
--- a/lycheetide/relay/tests/test_readers.py
+++ b/lycheetide/relay/tests/test_readers.py
@@ -1,7 +1,7 @@
 """One node reads the registry for the fleet, and is replaced when it fails.
 
 It fails by freezing, by being cut off or by ending. The fleets here have no network:
-tests deliver the hello messages between nodes.
+tests deliver the heartbeats between nodes.
 """
 
 import time
@@ -18,7 +18,7 @@
     must_read,
     waits_for_operators,
 )
-from lycheetide.relay.tests.test_spreading import DOMAINS, make_fleet, make_hello
+from lycheetide.relay.tests.test_spreading import DOMAINS, make_fleet, make_heartbeat
 
 DRAIN_S = 2.0
 """How long a leaving replica may still get work after it announced that it leaves."""
@@ -32,11 +32,11 @@
 
 
 def deliver_hellos(receivers, senders, *, now_s):
-    """Deliver the hello messages of the senders to the receivers."""
+    """Deliver the heartbeats of the senders to the receivers."""
     for node in receivers:
         for other in senders:
             if other is not node:
-                node.peers.hear(make_hello(other), now_s=now_s)
+                node.peers.hear(make_heartbeat(other), now_s=now_s)
 
 
 @pytest.mark.parametrize("size", [2, 9, 22, 60])
@@ -75,7 +75,7 @@
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
     (reader,) = find_readers(nodes, now_s=now_s)
-    reader.reads_store, reader.registry.failures = False, 1
+    reader.is_store_reachable, reader.registry.failures = False, 1
     deliver_hellos(nodes, [reader], now_s=now_s)
     (successor,) = find_readers(nodes, now_s=now_s)
     assert successor is not reader
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from lycheetide.gossip import Changed
+from lycheetide.gossip import RegistryUpdate
 from lycheetide.relay import _follow, _peer_state
 from lycheetide.relay._sharing import is_hub, must_read, waits_for_operators
 from standins.relayed import Relayed, make_config
@@ -62,7 +62,7 @@
         real_broadcast = reader.broadcast_change
 
         def drop_changes(message):
-            if not isinstance(message, Changed):
+            if not isinstance(message, RegistryUpdate):
                 real_broadcast(message)
 
         reader.broadcast_change = drop_changes
--- a/lycheetide/relay/tests/test_silence.py
+++ b/lycheetide/relay/tests/test_silence.py
@@ -33,7 +33,9 @@
     """Report to the first relay, as peers do, that all replicas are alive."""
     while True:
         for replica in fleet.replicas:
-            fleet.relays[0].trust.hear_of(replica.name, now_s=time.monotonic())
+            fleet.relays[0].failure_detector.note_peer_report(
+                replica.name, now_s=time.monotonic()
+            )
         await anyio.sleep(0.1)
 
 
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -11,12 +11,12 @@
 import pytest
 
 from lycheetide.gossip import (
-    Board,
     Ended,
-    Hello,
+    Heartbeat,
     Job,
-    Part,
-    Peers,
+    JobPart,
+    JobTable,
+    PeerTable,
     Started,
     decode_message,
     order_node,
@@ -49,18 +49,18 @@
         settings=SimpleNamespace(
             failure_domain=domains[index % len(domains)], link_mbps=link_mbps
         ),
-        peers=Peers(f"10.0.0.{index}:7"),
+        peers=PeerTable(f"10.0.0.{index}:7"),
         registry=SimpleNamespace(offset=1, read_s=0.0, failures=0),
-        reads_store=True,
+        is_store_reachable=True,
         sent=[],
     )
 
 
-def make_hello(node):
-    return Hello(
+def make_heartbeat(node):
+    return Heartbeat(
         "", node.node, node.peers.own_address, node.settings.failure_domain, 1, 1, 0.0,
         is_leaving=node.is_leaving, link_mbps=round(node.settings.link_mbps),
-        reads_store=node.reads_store,
+        is_store_reachable=node.is_store_reachable,
     )  # fmt: skip
 
 
@@ -80,7 +80,7 @@
     for node in nodes:
         for other in nodes:
             if other is not node:
-                node.peers.hear(make_hello(other), now_s=now_s)
+                node.peers.hear(make_heartbeat(other), now_s=now_s)
         node.broadcaster = Broadcaster(
             node, lambda data, to, by=node: by.sent.append(to)
         )
@@ -88,7 +88,7 @@
 
 
 def make_started(number):
-    part = Part(f"i-{number:010x}", 0.02, 6_000)
+    part = JobPart(f"i-{number:010x}", 0.02, 6_000)
     return Started("front-17.1ecc477f.f88", f"{number:x}", (part,), 10_000)
 
 
@@ -146,14 +146,14 @@
     later_s = now_s + HUB_SILENT_S + 0.1
     for other in fleet.values():
         if other.node not in (node.node, silent.node):
-            node.peers.hear(make_hello(other), now_s=later_s - 0.1)
+            node.peers.hear(make_heartbeat(other), now_s=later_s - 0.1)
     hubs = find_hubs(node, now_s=later_s)
     assert set(hubs) == set(DOMAINS)
     assert silent.node not in {hub.node for hub in hubs.values() if hub}
     following = hubs[silent.failure_domain]
     leaving = fleet[following.address]
     leaving.is_leaving = True
-    node.peers.hear(make_hello(leaving), now_s=later_s)
+    node.peers.hear(make_heartbeat(leaving), now_s=later_s)
     assert find_hubs(node, now_s=later_s)[silent.failure_domain] != following
 
 
@@ -198,9 +198,9 @@
     begun_s = time.monotonic()
     silent_s = begun_s + 5.0
     assert node.peers.alive(now_s=silent_s) == []
-    node.peers.vouch([other.order], now_s=silent_s)
+    node.peers.hear_indirectly([other.order], now_s=silent_s)
     assert [peer.node for peer in node.peers.alive(now_s=silent_s)] == [other.node]
-    assert node.peers.heard_directly(now_s=silent_s, within_s=1.0) == []
+    assert node.peers.list_heard_directly(now_s=silent_s, within_s=1.0) == []
     assert node.peers.alive(now_s=silent_s + 3.0) == []
 
 
@@ -210,14 +210,14 @@
     Its replica appeared busy at every other node until the request's deadline, so it
     got no work for some ten seconds.
     """
-    board = Board()
-    parts = (Part("r", 0.02, 100),)
+    job_table = JobTable()
+    parts = (JobPart("r", 0.02, 100),)
     for name, at_s in (("old", 0.0), ("kept", 0.0), ("new", 1.8)):
-        board.start(Job(name, "n", parts, at_s, 10.0), now_s=at_s)
-    board.start(Job("old", "other", parts, 0.0, 10.0), now_s=0.0)
-    assert board.settle("n", {"kept"}, now_s=2.0) == 1
-    assert set(board.jobs) == {("n", "kept"), ("n", "new"), ("other", "old")}
-    assert board.column("r").writers == 3
+        job_table.start(Job(name, "n", parts, at_s, 10.0), now_s=at_s)
+    job_table.start(Job("old", "other", parts, 0.0, 10.0), now_s=0.0)
+    assert job_table.reconcile("n", {"kept"}, now_s=2.0) == 1
+    assert set(job_table.jobs) == {("n", "kept"), ("n", "new"), ("other", "old")}
+    assert job_table.workload("r").writers == 3
 
 
 def make_gossip(node):
@@ -269,7 +269,7 @@
     fleet = make_fleet(60)
     node = next(iter(fleet.values()))
     now_s = time.monotonic()
-    node.peers.learn("10.0.9.9:7", now_s=now_s)
+    node.peers.add_address("10.0.9.9:7", now_s=now_s)
     gossip = make_gossip(node)
     assert "10.0.9.9:7" in gossip._list_hub_targets(now_s=now_s)
     assert gossip._choose_intervals(60, now_s=now_s).hubs_s <= 2.0
@@ -320,11 +320,12 @@
                 while len(seen) < 5 or min(seen.values()) < 5:
                     await anyio.sleep(0.01)
                     for relay in fleet.relays:
-                        known = {node for node, _ in relay.board.jobs}
+                        known = {node for node, _ in relay.job_table.jobs}
                         seen[relay.node] = max(seen[relay.node], len(known))
         assert min(seen.values()) == 5
         await fleet.wait_for(
-            lambda: not any(relay.board.jobs for relay in fleet.relays), timeout_s=2.0
+            lambda: not any(relay.job_table.jobs for relay in fleet.relays),
+            timeout_s=2.0,
         )
 
 
--- a/lycheetide/relay/tests/test_start.py
+++ b/lycheetide/relay/tests/test_start.py
@@ -78,7 +78,7 @@
     relay, messages, _ = apply_first_listing(caplog, make_listing(3))
     (record,) = make_listing(1, first=7).records
     later = Record(500, record.key, record.value)
-    relay.peers.grown_s = time.monotonic()
+    relay.peers.last_new_peer_s = time.monotonic()
     apply_batch(relay, "registry", Batch((later,), 501), now_s=time.monotonic())
     assert messages == []
 
@@ -114,7 +114,7 @@
     """A release replaces a node every half second, and the reader sent no changes."""
     relay = make_large_relay(3, 1)
     now_s = time.monotonic()
-    relay.peers.grown_s = now_s - (2 * PEERS_SETTLED_S if is_new else 0.0)
+    relay.peers.last_new_peer_s = now_s - (2 * PEERS_SETTLED_S if is_new else 0.0)
     relay.started_s = now_s - (0.1 if is_new else 2 * STARTUP_S)
     assert not is_starting(relay, now_s=now_s)
 
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -7,7 +7,7 @@
 import httpx
 import pytest
 
-from lycheetide.gossip import Part, Started, make_job
+from lycheetide.gossip import JobPart, Started, make_job
 from standins.http import Answer
 from standins.relayed import Relayed, make_config, make_patient_config
 from standins.replica import Replica, make_event
@@ -34,13 +34,13 @@
 
 
 def add_job(relay, replica, *, read_s=0.0, kv_tokens=0):
-    """Register a job of 20 s at a replica on a node's board."""
+    """Register a job of 20 s at a replica in a node's job table."""
     now_s = time.monotonic()
     started = Started(
-        relay.node, relay.next_job(), (Part(replica, read_s, kv_tokens, True),),
-        lasts_ms=20_000, due_in_ms=300, gap_ms=250, weight_hundredths=100,
+        relay.node, relay.next_job(), (JobPart(replica, read_s, kv_tokens, True),),
+        expires_in_ms=20_000, due_in_ms=300, gap_ms=250, weight_hundredths=100,
     )  # fmt: skip
-    relay.board.start(make_job(started, now_s=now_s), now_s=now_s)
+    relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
 
 
 async def read_stream(fleet, **fields):
@@ -71,7 +71,9 @@
         async def report_replicas_alive():
             while True:
                 for replica in fleet.replicas:
-                    relay.trust.hear_of(replica.name, now_s=time.monotonic())
+                    relay.failure_detector.note_peer_report(
+                        replica.name, now_s=time.monotonic()
+                    )
                 await anyio.sleep(0.1)
 
         async with anyio.create_task_group() as group:
@@ -125,7 +127,7 @@
         if known_as == "reading":
             add_job(relay, second.name, read_s=5.0)
         else:
-            relay.trust.suspect(second.name, now_s=time.monotonic())
+            relay.failure_detector.suspect(second.name, now_s=time.monotonic())
         data, longest_pause_s = await read_stream(fleet)
     assert data == WHOLE_STREAM
     assert longest_pause_s < 2.0
@@ -350,9 +352,11 @@
         (broken,) = [
             name
             for name in ("r-0", "r-1")
-            if math.isfinite(fleet.relays[0].trust.troubled_s(name))
+            if math.isfinite(fleet.relays[0].failure_detector.last_failure_s(name))
         ]
         other = fleet.relays[1]
-        await fleet.wait_for(lambda: math.isfinite(other.trust.troubled_s(broken)))
-        assert not other.trust.is_suspect(broken, now_s=time.monotonic())
+        await fleet.wait_for(
+            lambda: math.isfinite(other.failure_detector.last_failure_s(broken))
+        )
+        assert not other.failure_detector.is_suspect(broken, now_s=time.monotonic())
     assert data == WHOLE_STREAM
--- a/standins/large.py
+++ b/standins/large.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from lycheetide import platform
-from lycheetide.gossip import Hello
+from lycheetide.gossip import Heartbeat
 from lycheetide.placement import Size
 from lycheetide.relay._state import RelayState
 from lycheetide.replicas import Change, Entry
@@ -36,8 +36,10 @@
     relay.replicas.list_all(changes, replicas + 1, now_s=now_s)
     for n in range(1, nodes):
         domain = f"zone-{n % DOMAIN_COUNT}"
-        hello = Hello("", f"front-{n}.3b9aca00.1f", f"10.0.0.{n}:7", domain, 1, 1, 0.0)
-        relay.peers.hear(hello, now_s=now_s)
+        heartbeat = Heartbeat(
+            "", f"front-{n}.3b9aca00.1f", f"10.0.0.{n}:7", domain, 1, 1, 0.0
+        )
+        relay.peers.hear(heartbeat, now_s=now_s)
     table: Any = SimpleNamespace(find_shortest_target_s=lambda _: 0.4)
     relay.table = table
     return relay
