--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -20,7 +20,7 @@
     encode_message,
 )
 from lycheetide.placement import Candidate, Size, choose_prompt
-from lycheetide.relay._place import find_place, list_candidates
+from lycheetide.relay._selection import find_place, list_candidates
 from lycheetide.replicas import Change, Entry, ReplicaTable
 from lycheetide.routes import ANY_ENGINE
 from standins.large import make_call, make_large_relay
--- a/lycheetide/losses/tests/test_prices.py
+++ b/lycheetide/losses/tests/test_prices.py
@@ -11,7 +11,7 @@
     summarize,
 )
 from lycheetide.losses.tests.test_account import make_end, make_line
-from lycheetide.relay._used import LOG_S, Used
+from lycheetide.relay._usage import LOG_S, Used
 from standins.large import make_large_relay
 
 
--- a/lycheetide/relay/_take.py
+++ b/lycheetide/relay/_apply_records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lycheetide.relay._sharing import (
+from lycheetide.relay._roles import (
     decode_change_message,
     is_hub,
     is_reader,
--- a/lycheetide/relay/_spreading.py
+++ b/lycheetide/relay/_broadcast.py
@@ -9,7 +9,7 @@
 import anyio
 
 from lycheetide.gossip import Bundle, encode_message
-from lycheetide.relay._sharing import find_hubs
+from lycheetide.relay._roles import find_hubs
 from lycheetide.relay._state import read_clock
 
 LARGE_FLEET = 24
--- a/lycheetide/relay/_plain.py
+++ b/lycheetide/relay/_buffered.py
@@ -5,14 +5,14 @@
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._evidence import note_failure
 from lycheetide.relay._outcomes import AttemptFailed, Cause, Refusal
-from lycheetide.relay._patience import make_answer_timeout_extension
-from lycheetide.relay._place import (
+from lycheetide.relay._retries import claim_retry
+from lycheetide.relay._selection import (
     choose_placement,
     find_placement_wait_s,
     make_refusal,
 )
-from lycheetide.relay._retries import claim_retry
 from lycheetide.relay._state import read_clock
+from lycheetide.relay._timeouts import make_answer_timeout_extension
 
 ANSWER_TIMEOUT_S = 0.8
 """How long a replica may take to answer a repeatable request before another replica is
--- a/lycheetide/relay/_follow.py
+++ b/lycheetide/relay/_follow.py
@@ -6,10 +6,10 @@
 import anyio
 
 from lycheetide.exchange import StoreUnavailable
+from lycheetide.relay._apply_records import apply_batch
 from lycheetide.relay._peer_state import read_from_peer, wait_for_peer_ahead
-from lycheetide.relay._sharing import is_hub, must_read, waits_for_operators
+from lycheetide.relay._roles import is_hub, must_read, waits_for_operators
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._take import apply_batch
 
 STORE_TIMEOUT_S = 1.0
 """Timeout of a call to the store. Its ordinary answers take 4 ms, slow ones 0.3 s."""
--- a/lycheetide/relay/_gossip.py
+++ b/lycheetide/relay/_messaging.py
@@ -20,18 +20,18 @@
     encode_message,
     make_job,
 )
+from lycheetide.relay._apply_records import apply_peer_changes, record_outage_end
+from lycheetide.relay._broadcast import Broadcaster, is_large_fleet
 from lycheetide.relay._datagrams import classify_datagram, make_sender, receive_all
 from lycheetide.relay._peer_state import fetch_registry
-from lycheetide.relay._sharing import (
+from lycheetide.relay._roles import (
     compare_digests,
     compute_outage_end_age_s,
     find_hubs,
     is_hub,
     is_reader,
 )
-from lycheetide.relay._spreading import Broadcaster, is_large_fleet
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._take import apply_peer_changes, record_outage_end
 
 HEARTBEAT_INTERVAL_S = 0.3
 """Interval between heartbeats in a small fleet, and of nodes that read for others."""
--- a/lycheetide/relay/_peer_state.py
+++ b/lycheetide/relay/_peer_state.py
@@ -5,8 +5,8 @@
 
 from lycheetide.exchange import Batch
 from lycheetide.httpclient import ChannelBroken, ConnectFailed, Outgoing
+from lycheetide.relay._apply_records import apply_batch
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._take import apply_batch
 
 PEER_POLL_S = 0.01
 MAX_TRANSFER_S = 0.3
--- a/lycheetide/relay/_tickets.py
+++ b/lycheetide/relay/_reservations.py
@@ -16,7 +16,7 @@
 from lycheetide.httpclient import ChannelBroken, ConnectFailed
 from lycheetide.placement import Placement, count_room, needs_sharing
 from lycheetide.relay._evidence import suspect
-from lycheetide.relay._place import (
+from lycheetide.relay._selection import (
     find_place,
     is_worthwhile,
     list_candidates,
--- a/lycheetide/relay/_retries.py
+++ b/lycheetide/relay/_retries.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from lycheetide.relay._place import has_placement
+from lycheetide.relay._selection import has_placement
 from lycheetide.relay._state import read_clock
 
 
--- a/lycheetide/relay/_run.py
+++ b/lycheetide/relay/_run.py
@@ -11,8 +11,8 @@
 from lycheetide.metrics import read_process_age_s
 from lycheetide.relay._datagrams import make_listener
 from lycheetide.relay._follow import follow_operator, follow_registry
-from lycheetide.relay._gossip import Gossip, discover
 from lycheetide.relay._ingress import make_ingress, make_readiness
+from lycheetide.relay._messaging import Gossip, discover
 from lycheetide.relay._peer_state import make_peer_app
 from lycheetide.relay._reload import reload_settings, watch_settings
 from lycheetide.relay._state import RelayState, read_clock
--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_selection.py
@@ -13,8 +13,8 @@
     may_send,
     share_cold_limits,
 )
+from lycheetide.relay._broadcast import find_told_s
 from lycheetide.relay._outcomes import Cause, Refusal
-from lycheetide.relay._spreading import find_told_s
 from lycheetide.relay._state import read_clock
 from lycheetide.routes import ANY_ENGINE
 
--- a/lycheetide/relay/_serve.py
+++ b/lycheetide/relay/_serve.py
@@ -3,10 +3,14 @@
 import anyio
 
 from lycheetide.placement import Size
+from lycheetide.relay._buffered import serve_buffered
 from lycheetide.relay._call import Call
 from lycheetide.relay._outcomes import Cause, Refusal, StreamAborted
-from lycheetide.relay._place import DEFAULT_RETRY_DELAY_S, make_refusal, pick_service
-from lycheetide.relay._plain import serve_buffered
+from lycheetide.relay._selection import (
+    DEFAULT_RETRY_DELAY_S,
+    make_refusal,
+    pick_service,
+)
 from lycheetide.relay._state import read_clock
 from lycheetide.relay._stream import serve_stream
 from lycheetide.routes import Kind, NoCustomer, NoRoute
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -28,7 +28,7 @@
     UnreadPrompt,
     rank_replicas,
 )
-from lycheetide.relay._used import Used
+from lycheetide.relay._usage import Used
 from lycheetide.replicas import ReplicaTable, drop_dark_domains
 from lycheetide.routes import RouteTable
 from lycheetide.tasks import Standstill
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -13,21 +13,21 @@
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._events import EventSplitter
 from lycheetide.relay._evidence import note_failure
+from lycheetide.relay._hedging import HedgedAttempts
 from lycheetide.relay._outcomes import AttemptFailed, Cause, StreamAborted
-from lycheetide.relay._patience import (
-    MIN_STREAM_ATTEMPT_S,
-    SILENCE_MARGIN_S,
-    make_stream_timeout_extension,
-)
-from lycheetide.relay._place import (
+from lycheetide.relay._reservations import MemoryUnavailable, reserve_memory
+from lycheetide.relay._retries import claim_retry
+from lycheetide.relay._selection import (
     choose_placement,
     find_placement_wait_s,
     make_refusal,
 )
-from lycheetide.relay._race import HedgedAttempts
-from lycheetide.relay._retries import claim_retry
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._tickets import MemoryUnavailable, reserve_memory
+from lycheetide.relay._timeouts import (
+    MIN_STREAM_ATTEMPT_S,
+    SILENCE_MARGIN_S,
+    make_stream_timeout_extension,
+)
 from lycheetide.routes import ANY_ENGINE
 
 
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -7,7 +7,7 @@
 
 from lycheetide.gossip import START_WINDOW_S, Started
 from lycheetide.gossip._messages import JobPart
-from lycheetide.relay._place import list_candidates
+from lycheetide.relay._selection import list_candidates
 from lycheetide.relay._serve import make_call
 from standins.relayed import HOST, KEY, Relayed
 
--- a/lycheetide/relay/tests/test_large.py
+++ b/lycheetide/relay/tests/test_large.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lycheetide.relay._place import find_place, list_candidates
+from lycheetide.relay._selection import find_place, list_candidates
 from standins.large import make_call, make_large_relay
 
 ROUNDS = 10
--- a/lycheetide/relay/tests/test_readers.py
+++ b/lycheetide/relay/tests/test_readers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lycheetide.relay._sharing import (
+from lycheetide.relay._roles import (
     FRESH_ALONE_S,
     FRESH_S,
     HUB_SILENT_S,
--- a/lycheetide/relay/tests/test_shares.py
+++ b/lycheetide/relay/tests/test_shares.py
@@ -4,7 +4,7 @@
 
 from lycheetide import platform
 from lycheetide.placement import share_cold_limits
-from lycheetide.relay._place import is_open
+from lycheetide.relay._selection import is_open
 from lycheetide.relay._state import RelayState
 from lycheetide.settings import RelaySettings
 
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -7,7 +7,7 @@
 
 from lycheetide.gossip import RegistryUpdate
 from lycheetide.relay import _follow, _peer_state
-from lycheetide.relay._sharing import is_hub, must_read, waits_for_operators
+from lycheetide.relay._roles import is_hub, must_read, waits_for_operators
 from standins.relayed import Relayed, make_config
 
 pytestmark = pytest.mark.anyio
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -21,10 +21,10 @@
     decode_message,
     order_node,
 )
-from lycheetide.relay import _spreading
-from lycheetide.relay._gossip import BURST_PAUSE_S, MAX_BURST, Gossip
-from lycheetide.relay._sharing import HUB_SILENT_S, find_hubs, is_hub
-from lycheetide.relay._spreading import MAX_BUNDLE_BYTES, Broadcaster, make_bundles
+from lycheetide.relay import _broadcast
+from lycheetide.relay._broadcast import MAX_BUNDLE_BYTES, Broadcaster, make_bundles
+from lycheetide.relay._messaging import BURST_PAUSE_S, MAX_BURST, Gossip
+from lycheetide.relay._roles import HUB_SILENT_S, find_hubs, is_hub
 from standins.relayed import Relayed
 
 pytestmark = pytest.mark.anyio
@@ -127,7 +127,7 @@
     """Return the bytes, headers included, that a hub forwards in one second."""
     sent: list[bytes] = []
     hub.broadcaster._send = lambda data, _: sent.append(data)
-    turns = round(1 / _spreading.BUNDLE_DELAY_S)
+    turns = round(1 / _broadcast.BUNDLE_DELAY_S)
     for turn in range(turns):
         messages = []
         for number in range(turn * per_s // turns, (turn + 1) * per_s // turns):
@@ -181,7 +181,7 @@
     assert [one for bundle in bundles for one in bundle.messages] == messages
     assert len(bundles) <= 12
     for bundle in bundles:
-        data = _spreading.encode_message(bundle)
+        data = _broadcast.encode_message(bundle)
         assert len(data) < MAX_BUNDLE_BYTES + 100
         assert decode_message(data) == bundle
 
@@ -302,7 +302,7 @@
 
 async def test_all_nodes_of_a_large_fleet_know_all_work(monkeypatch):
     """Each node sends to hubs only, and every node still learns of all placements."""
-    monkeypatch.setattr(_spreading, "LARGE_FLEET", 3)
+    monkeypatch.setattr(_broadcast, "LARGE_FLEET", 3)
     async with Relayed(relays=5) as fleet:
         await fleet.wait_for(
             lambda: all(
--- a/lycheetide/relay/tests/test_start.py
+++ b/lycheetide/relay/tests/test_start.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lycheetide.exchange import Batch, Record
-from lycheetide.relay._take import (
+from lycheetide.relay._apply_records import (
     PEERS_SETTLED_S,
     STARTUP_S,
     apply_batch,
