--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -20,7 +20,7 @@
     encode_message,
 )
 from lycheetide.placement import Candidate, Size, choose_prompt
-from lycheetide.relay._selection import find_place, list_candidates
+from lycheetide.relay._selection import find_placement, list_candidates
 from lycheetide.replicas import Change, Entry, ReplicaTable
 from lycheetide.routes import ANY_ENGINE
 from standins.large import make_call, make_large_relay
@@ -102,7 +102,7 @@
 
     def choose(call):
         candidates, _ = list_candidates(relay, call)
-        find_place(relay, call, candidates, now_s=time.monotonic())
+        find_placement(relay, call, candidates, now_s=time.monotonic())
 
     short, huge = make_call(5_000), make_call(133_000, target_s=2.5, gap_s=1.0)
     return {
--- a/lycheetide/losses/tests/test_prices.py
+++ b/lycheetide/losses/tests/test_prices.py
@@ -11,7 +11,7 @@
     summarize,
 )
 from lycheetide.losses.tests.test_account import make_end, make_line
-from lycheetide.relay._usage import LOG_S, Used
+from lycheetide.relay._usage import LOG_INTERVAL_S, UsageCounter
 from standins.large import make_large_relay
 
 
@@ -81,13 +81,13 @@
     relay = make_large_relay(2, 1)
     lines = []
     relay.log = SimpleNamespace(info=lambda text, extra: lines.append((text, extra)))
-    used = Used(now_s=0.0)
+    used = UsageCounter(now_s=0.0)
     used.add("store.registry.read", 2)
-    used.log(relay, now_s=LOG_S / 2)
+    used.log(relay, now_s=LOG_INTERVAL_S / 2)
     assert lines == []
     used.add("store.registry.read")
-    used.log(relay, now_s=LOG_S + 0.1)
-    used.log(relay, now_s=LOG_S + 0.2, is_last=True)
+    used.log(relay, now_s=LOG_INTERVAL_S + 0.1)
+    used.log(relay, now_s=LOG_INTERVAL_S + 0.2, is_last=True)
     (_, first), (_, last) = lines
     assert first["used"]["store.registry.read"] == 3
     assert "store.registry.read" not in last["used"]
--- a/lycheetide/metrics/tests/test_logs.py
+++ b/lycheetide/metrics/tests/test_logs.py
@@ -76,9 +76,9 @@
 def test_counters_and_histograms_are_exported():
     counters = Counters()
     counters.add("retries.silent", 3)
-    exposition = Exposition(counters)
-    exposition.observe("first_event", 0.07, kind="stream")
-    text = b"".join(serve(exposition.make_app())).decode()
+    metrics_exporter = Exposition(counters)
+    metrics_exporter.observe("first_event", 0.07, kind="stream")
+    text = b"".join(serve(metrics_exporter.make_app())).decode()
     assert "lycheetide_retries_silent_total 3.0" in text
     assert 'lycheetide_first_event_seconds_bucket{kind="stream",le="0.1"} 1.0' in text
 
--- a/lycheetide/relay/_apply_records.py
+++ b/lycheetide/relay/_apply_records.py
@@ -7,7 +7,7 @@
 from lycheetide.relay._roles import (
     decode_change_message,
     is_hub,
-    is_reader,
+    is_registry_reader,
     make_change_messages,
 )
 from lycheetide.routes import RouteTable
@@ -21,7 +21,7 @@
 number of replicas of the largest fleet that the design covers."""
 
 
-def apply_batch(relay, name, batch, *, now_s, read_s=None):
+def apply_batch(relay, name, batch, *, now_s, complete_until_s=None):
     """Apply the records of one read.
 
     Parameters
@@ -34,12 +34,14 @@
         Records that were read.
     now_s : float
         Current time.
-    read_s : float or None
+    complete_until_s : float or None
         Time at which the store returned them; None for now.
     """
     source = getattr(relay, name)
     is_first = source.offset < 0
-    source.read_s = max(source.read_s, now_s if read_s is None else read_s)
+    source.complete_until_s = max(
+        source.complete_until_s, now_s if complete_until_s is None else complete_until_s
+    )
     newer = [
         record
         for record in batch.records
@@ -53,9 +55,11 @@
     else:
         listed = batch.records if batch.is_listing else newer
         applied = apply_registry_records(relay, listed, batch, now_s=now_s)
-        log_replica_changes(relay, applied, is_first=is_first, is_read=read_s is None)
+        log_replica_changes(
+            relay, applied, is_first=is_first, is_read=complete_until_s is None
+        )
         drop_removed_records(source)
-        if applied and read_s is None and not is_first:
+        if applied and complete_until_s is None and not is_first:
             broadcast_changes(relay, applied, now_s=now_s)
     source.offset = max(source.offset, batch.end)
 
@@ -75,8 +79,11 @@
     for record, routing, domain in decode_readable_records(relay, records):
         if domain is not None:
             (closed.discard if record.value is None else closed.add)(domain)
-        elif relay.table is None or routing.version > relay.table.routing.version:
-            relay.table = RouteTable(routing)
+        elif (
+            relay.route_table is None
+            or routing.version > relay.route_table.routing.version
+        ):
+            relay.route_table = RouteTable(routing)
             relay.log.info(
                 "A configuration is in force.",
                 extra={"version": routing.version, "offset": record.offset,
@@ -103,7 +110,7 @@
 
 def apply_registry_records(relay, records, batch, *, now_s):
     """Update the replicas, and return the changes that had an effect."""
-    services = relay.table.services if relay.table else ()
+    services = relay.route_table.services if relay.route_table else ()
     skipped: list[str] = []
     changes = list(
         relay.adapter.decode_registry_records(
@@ -167,7 +174,7 @@
     """
     if is_starting(relay, now_s=now_s):
         return
-    if is_reader(relay, now_s=now_s):
+    if is_registry_reader(relay, now_s=now_s):
         broadcast = relay.broadcast_change
     elif is_hub(relay, now_s=now_s):
         broadcast = relay.broadcast_to_domain
@@ -195,4 +202,10 @@
     """Apply changes of replicas that a peer has read."""
     record_outage_end(relay, message.returned_age_s, now_s=now_s)
     batch = decode_change_message(message)
-    apply_batch(relay, "registry", batch, now_s=now_s, read_s=relay.registry.read_s)
+    apply_batch(
+        relay,
+        "registry",
+        batch,
+        now_s=now_s,
+        complete_until_s=relay.registry.complete_until_s,
+    )
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -9,7 +9,7 @@
 from lycheetide.httpclient import ChannelBroken, ConnectFailed, count_kept
 from lycheetide.placement import Placement
 from lycheetide.relay._call import find_admission_priority
-from lycheetide.relay._evidence import note_answer, suspect
+from lycheetide.relay._evidence import record_response, suspect
 from lycheetide.relay._outcomes import AttemptFailed, Cause
 from lycheetide.relay._retries import spend_retry
 from lycheetide.relay._state import read_clock
@@ -56,7 +56,7 @@
     """
     now_s = read_clock()
     expires_in_s = max(0.0, call.remaining_s(now_s=now_s)) + JOB_EXPIRY_MARGIN_S
-    job_id = relay.next_job()
+    job_id = relay.make_attempt_name()
     due_s = call.request.received_s + call.route.target_latency_s
     started = Started(
         relay.node,
@@ -69,12 +69,12 @@
         sent_ms=make_sent_ms(now_s),
     )
     relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
-    relay.tell_work(started)
+    relay.broadcast_work(started)
     try:
         yield job_id
     finally:
         relay.job_table.end(relay.node, job_id, now_s=read_clock())
-        relay.tell_work(Ended(relay.node, job_id))
+        relay.broadcast_work(Ended(relay.node, job_id))
 
 
 def announce_late_send(relay, replica, *, now_s):
@@ -83,7 +83,7 @@
     The announcement is a job without cost that has ended already, so that only the
     start is counted.
     """
-    job_id = relay.next_job()
+    job_id = relay.make_attempt_name()
     started = Started(
         relay.node,
         job_id,
@@ -93,8 +93,8 @@
     )
     relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
     relay.job_table.end(relay.node, job_id, now_s=now_s)
-    relay.tell_work(started)
-    relay.tell_work(Ended(relay.node, job_id))
+    relay.broadcast_work(started)
+    relay.broadcast_work(Ended(relay.node, job_id))
 
 
 @asynccontextmanager
@@ -152,7 +152,7 @@
     whole = False
     try:
         answer = relay.adapter.decode_answer(head)
-        note_answer(relay, first.id, answer)
+        record_response(relay, first.id, answer)
         check_answer(call, answer)
         attempt = Attempt(channel, answer, placement)
         yield attempt
@@ -160,7 +160,7 @@
     finally:
         if whole:
             now_s = read_clock()
-            nodes = len(relay.living_nodes(now_s=now_s))
+            nodes = len(relay.list_alive_nodes(now_s=now_s))
             most = count_kept(call.service.max_connections, nodes)
             await relay.pool.give_back(channel, now_s=now_s, most=most)
         else:
@@ -184,11 +184,11 @@
     is_counted = False
     announced_s = read_clock()
     while True:
-        relay.note_placed(first.id)
+        relay.record_placed(first.id)
         try:
             channel = await connect(relay, call, first, is_fresh=is_fresh)
         finally:
-            relay.note_settled(first.id)
+            relay.record_placement_ended(first.id)
         if not is_counted:
             # Counted only now: an unreachable replica must not use up an attempt.
             call.sent += 1
@@ -197,7 +197,7 @@
         is_kept = channel.served > 0
         try:
             now_s = read_clock()
-            relay.note_start(first.id, now_s=now_s)
+            relay.record_sent(first.id, now_s=now_s)
             if now_s - announced_s > LATE_SEND_S:
                 announce_late_send(relay, first.id, now_s=now_s)
             announced_s = float("-inf")
--- a/lycheetide/relay/_broadcast.py
+++ b/lycheetide/relay/_broadcast.py
@@ -105,13 +105,13 @@
     return len(relay.peers.alive(now_s=now_s)) + 1 >= LARGE_FLEET
 
 
-def find_told_s(relay, *, now_s):
+def estimate_propagation_s(relay, *, now_s):
     """Return the time until this node learns what others place, in seconds.
 
     The measured mean delay is included: a saturated link or a slow hub adds to it.
     """
     bundle_delay_s = BUNDLE_DELAY_S if is_large_fleet(relay, now_s=now_s) else 0.0
-    return PROPAGATION_S + bundle_delay_s + relay.delays.mean_s()
+    return PROPAGATION_S + bundle_delay_s + relay.message_delays.mean_s()
 
 
 def make_bundles(node, messages):
--- a/lycheetide/relay/_buffered.py
+++ b/lycheetide/relay/_buffered.py
@@ -3,7 +3,7 @@
 from lycheetide.exchange import Answer
 from lycheetide.httpclient import ChannelBroken
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
-from lycheetide.relay._evidence import note_failure
+from lycheetide.relay._evidence import record_failed_attempt
 from lycheetide.relay._outcomes import AttemptFailed, Cause, Refusal
 from lycheetide.relay._retries import claim_retry
 from lycheetide.relay._selection import (
@@ -50,7 +50,7 @@
         try:
             last_answer = await request_answer(relay, call, placement)
         except AttemptFailed as failure:
-            note_failure(relay, call, placement, failure)
+            record_failed_attempt(relay, call, placement, failure)
             if claim_retry(relay, call, min_attempt_s=MIN_ANSWER_ATTEMPT_S):
                 relay.counters.add(f"retries.{failure.cause}")
                 continue
--- a/lycheetide/relay/_call.py
+++ b/lycheetide/relay/_call.py
@@ -77,13 +77,13 @@
         """Return the time until the deadline, in seconds."""
         return self.deadline_s - now_s
 
-    def note_refused(self, replica, *, now_s):
+    def record_refusal(self, replica, *, now_s):
         """Record that a replica refused the call without running it."""
         self.tried.discard(replica)
         self.refusals[replica] += 1
         self.last_refused_s[replica] = now_s
 
-    def list_closed(self, *, now_s):
+    def list_excluded(self, *, now_s):
         """Return the replicas that the call must not be sent to at present.
 
         A replica that refused the call is excluded only for a backoff time: a replica
--- a/lycheetide/relay/_evidence.py
+++ b/lycheetide/relay/_evidence.py
@@ -14,7 +14,7 @@
     """
     if not relay.failure_detector.suspect(replica, now_s=read_clock()):
         return
-    relay.tell_work(Suspected(relay.node, replica))
+    relay.broadcast_work(Suspected(relay.node, replica))
     relay.counters.add("replicas.suspected")
     relay.log.info("A replica is suspected.", extra={"replica": replica, "why": why})
 
@@ -27,11 +27,11 @@
     next.
     """
     if relay.failure_detector.doubt(replica, now_s=read_clock()):
-        relay.tell_work(Doubted(relay.node, replica))
+        relay.broadcast_work(Doubted(relay.node, replica))
         relay.counters.add("replicas.doubted")
 
 
-def note_answer(relay, replica, answer):
+def record_response(relay, replica, answer):
     """Record what a response head shows about its replica and about others."""
     now_s = read_clock()
     relay.failure_detector.hear(replica, now_s=now_s)
@@ -41,7 +41,7 @@
                 suspect(relay, known.entry.id, "another replica waited for it")
 
 
-def note_failure(relay, call, placement, failure):
+def record_failed_attempt(relay, call, placement, failure):
     """Record a failed attempt."""
     call.may_have_run = call.may_have_run or failure.may_have_run
     is_helped = bool(placement.helpers or placement.holders)
@@ -49,7 +49,7 @@
         # Which helper was at fault isn't known, so the next attempt uses none.
         call.helpers_refused = True
     if failure.cause is Cause.REFUSED and not failure.may_have_run:
-        call.note_refused(placement.first.id, now_s=read_clock())
+        call.record_refusal(placement.first.id, now_s=read_clock())
     if failure.cause is Cause.BROKEN:
         doubt(relay, placement.first.id)
     if failure.cause is Cause.SILENT:
--- a/lycheetide/relay/_follow.py
+++ b/lycheetide/relay/_follow.py
@@ -8,7 +8,11 @@
 from lycheetide.exchange import StoreUnavailable
 from lycheetide.relay._apply_records import apply_batch
 from lycheetide.relay._peer_state import read_from_peer, wait_for_peer_ahead
-from lycheetide.relay._roles import is_hub, must_read, waits_for_operators
+from lycheetide.relay._roles import (
+    is_hub,
+    must_read_registry,
+    must_wait_for_operator_records,
+)
 from lycheetide.relay._state import read_clock
 
 STORE_TIMEOUT_S = 1.0
@@ -42,7 +46,7 @@
     await load_first_state(relay, store, "operator")
     while True:
         offset = relay.operator.offset
-        if waits_for_operators(relay, now_s=read_clock()):
+        if must_wait_for_operator_records(relay, now_s=read_clock()):
             # A wait that the store has lost can't be told from one without news, so the
             # store is asked to wait only after it has answered again.
             has_failed = relay.operator.failures > 0
@@ -81,7 +85,7 @@
         await anyio.sleep(relay.settings.registry_interval_s)
     while True:
         now_s = read_clock()
-        reads = must_read(relay, now_s=now_s)
+        reads = must_read_registry(relay, now_s=now_s)
         if reads:
             await read_once(relay, store, "registry", wait_s=0.0)
         pause_s = relay.settings.registry_interval_s
@@ -105,7 +109,7 @@
         return
     now_s = read_clock()
     if wait_s == 0:
-        relay.exposition.observe("store_call", now_s - begun_s, kind=name)
+        relay.metrics_exporter.observe("store_call", now_s - begun_s, kind=name)
     if not source.is_reachable:
         relay.log.info("The store answers.", extra={"topic": name})
         if was_full_outage(relay, source, now_s=now_s):
@@ -142,7 +146,7 @@
     that has left.
     """
     since_s = now_s - MIN_OUTAGE_S
-    if source.offset < 0 or source.read_s > since_s:
+    if source.offset < 0 or source.complete_until_s > since_s:
         return False
     return all(peer.registry_read_s <= since_s for peer in relay.peers.peers.values())
 
--- a/lycheetide/relay/_ingress.py
+++ b/lycheetide/relay/_ingress.py
@@ -9,7 +9,7 @@
 from lycheetide.relay._state import read_clock
 
 
-def make_ingress(relay):
+def make_caller_app(relay):
     """Return the ASGI application that serves callers.
 
     Parameters
@@ -95,7 +95,9 @@
     Refusal
         If the body is too large.
     """
-    max_bytes = relay.table.routing.limits.body_bytes if relay.table else 1 << 22
+    max_bytes = (
+        relay.route_table.routing.limits.body_bytes if relay.route_table else 1 << 22
+    )
     parts = []
     size = 0
     while True:
@@ -161,7 +163,7 @@
         outcome = f"answered.{reply.status}"
     relay.counters.add(f"ended.{outcome}")
     kind = outcome.partition(".")[0]
-    relay.exposition.observe("request", now_s - request.received_s, kind=kind)
+    relay.metrics_exporter.observe("request", now_s - request.received_s, kind=kind)
     relay.log.info(
         "A request ended.",
         extra={
@@ -170,13 +172,13 @@
             "status": reply.status,
             "took_ms": round((now_s - request.received_s) * 1e3),
             "cause": str(error) if error else "",
-            "version": relay.table.routing.version if relay.table else 0,
+            "version": relay.route_table.routing.version if relay.route_table else 0,
             **reply.notes,
         },
     )
 
 
-def make_readiness(relay):
+def make_readiness_app(relay):
     """Return the ASGI application that tells the load balancer of readiness."""
 
     async def readiness(scope, receive, send):
--- a/lycheetide/relay/_messaging.py
+++ b/lycheetide/relay/_messaging.py
@@ -29,7 +29,7 @@
     compute_outage_end_age_s,
     find_hubs,
     is_hub,
-    is_reader,
+    is_registry_reader,
 )
 from lycheetide.relay._state import read_clock
 
@@ -92,7 +92,7 @@
     domain_s: float
 
 
-class Gossip:
+class PeerMessenger:
     """Sends and receives a node's datagrams.
 
     Parameters
@@ -176,7 +176,7 @@
             return HeartbeatIntervals(
                 all_s, TO_OTHER_HUBS_INTERVAL_S, TO_OWN_HUB_INTERVAL_S
             )
-        if is_reader(self.relay, now_s=now_s):
+        if is_registry_reader(self.relay, now_s=now_s):
             return HeartbeatIntervals(0.0, 0.0, HEARTBEAT_INTERVAL_S)
         per_node_s = (
             HUB_INTERVAL_S_PER_NODE
@@ -238,7 +238,7 @@
             failure_domain=relay.settings.failure_domain,
             operator_offset=relay.operator.offset,
             registry_offset=relay.registry.offset,
-            registry_age_s=min(1e6, now_s - relay.registry.read_s),
+            registry_age_s=min(1e6, now_s - relay.registry.complete_until_s),
             registry_digest=relay.replicas.digest(),
             returned_age_s=compute_outage_end_age_s(relay, now_s=now_s),
             heard=tuple(heard[:MAX_REPLICAS_LISTED]),
@@ -289,8 +289,8 @@
             case Started():
                 job_table.start(make_job(message, now_s=now_s), now_s=now_s)
                 if message.sent_ms >= 0 and message.node != self.relay.node:
-                    delays = self.relay.delays
-                    delays.note(message.node, message.sent_ms, now_s=now_s)
+                    message_delays = self.relay.message_delays
+                    message_delays.note(message.node, message.sent_ms, now_s=now_s)
             case Ended(node, job):
                 job_table.end(node, job, now_s=now_s)
                 self.relay.memory_queue.drop(node, job)
@@ -393,11 +393,11 @@
             if is_behind and was_behind and self.relay.operator_read_scope is not None:
                 self.relay.operator_read_scope.cancel()
             was_behind = is_behind
-            living = self.relay.living_nodes(now_s=now_s)
+            living = self.relay.list_alive_nodes(now_s=now_s)
             dead = self.relay.peers.list_dead(now_s=now_s)
             self.relay.job_table.expire(now_s=now_s, dead=dead)
             self.relay.drop_gone_replicas(now_s=now_s)
-            self.relay.delays.drop_absent(living)
+            self.relay.message_delays.drop_absent(living)
             self._log_new_peers(len(living))
             self.relay.used.log(self.relay, now_s=now_s)
             await self.relay.pool.sweep(now_s=now_s)
--- a/lycheetide/relay/_peer_state.py
+++ b/lycheetide/relay/_peer_state.py
@@ -79,10 +79,12 @@
         )
         return
     relay.counters.add(f"peers.gave.{name}")
-    read_s = getattr(relay, name).read_s
+    complete_until_s = getattr(relay, name).complete_until_s
     if name == "registry" and batch.end >= relay.registry.offset:
-        read_s = max(read_s, known_s)
-    apply_batch(relay, name, batch, now_s=read_clock(), read_s=read_s)
+        complete_until_s = max(complete_until_s, known_s)
+    apply_batch(
+        relay, name, batch, now_s=read_clock(), complete_until_s=complete_until_s
+    )
 
 
 async def request_topic(relay, address, target):
--- a/lycheetide/relay/_reservations.py
+++ b/lycheetide/relay/_reservations.py
@@ -17,7 +17,7 @@
 from lycheetide.placement import Placement, count_room, needs_sharing
 from lycheetide.relay._evidence import suspect
 from lycheetide.relay._selection import (
-    find_place,
+    find_placement,
     is_worthwhile,
     list_candidates,
 )
@@ -155,20 +155,25 @@
         if self.waiting is None:
             number = self.relay.memory_queue.next_number()
             self.waiting = WaitingRequest(
-                number, self.relay.node, self.relay.next_job(), self.call.size.tokens
+                number,
+                self.relay.node,
+                self.relay.make_attempt_name(),
+                self.call.size.tokens,
             )
         if now_s - self.announced_s < ANNOUNCE_INTERVAL_S:
             return
         self.announced_s = now_s
         one = self.waiting
         self.relay.memory_queue.note(one, now_s=now_s)
-        self.relay.tell_work(MemoryWanted(one.node, one.job, one.number, one.tokens))
+        self.relay.broadcast_work(
+            MemoryWanted(one.node, one.job, one.number, one.tokens)
+        )
 
     def leave(self):
         """Leave the queue."""
         if self.waiting is not None:
             self.relay.memory_queue.drop(self.waiting.node, self.waiting.job)
-            self.relay.tell_work(Ended(self.waiting.node, self.waiting.job))
+            self.relay.broadcast_work(Ended(self.waiting.node, self.waiting.job))
 
 
 async def _try_reserve_all(relay, call, admissible, refused_ids):
@@ -186,11 +191,11 @@
         Replicas that refused a share in the last try; replaced by those of this try.
     """
     candidates = [one for one in admissible if one.id not in refused_ids]
-    placement = find_place(relay, call, candidates, now_s=read_clock())
+    placement = find_placement(relay, call, candidates, now_s=read_clock())
     refused_ids.clear()
     if not is_worthwhile(call, placement):
         return None
-    job = relay.next_job()
+    job = relay.make_attempt_name()
     wanted_shares = [
         (share.replica, f"{relay.node}/{job}/{place}", share.tokens)
         for place, share in enumerate(placement.holders)
--- a/lycheetide/relay/_retries.py
+++ b/lycheetide/relay/_retries.py
@@ -88,7 +88,7 @@
     """Tell whether the retry budget allows a call's next attempt."""
     if call.sent == 0 or call.has_retry:
         return True
-    nodes = len(relay.living_nodes(now_s=now_s))
+    nodes = len(relay.list_alive_nodes(now_s=now_s))
     return relay.retries(call.service.name).has_left(nodes, now_s=now_s)
 
 
@@ -106,5 +106,5 @@
 def spend_retry(relay, call):
     """Take one retry from the budget of a call's service; tell whether one was left."""
     now_s = read_clock()
-    nodes = len(relay.living_nodes(now_s=now_s))
+    nodes = len(relay.list_alive_nodes(now_s=now_s))
     return relay.retries(call.service.name).spend(nodes, now_s=now_s)
--- a/lycheetide/relay/_roles.py
+++ b/lycheetide/relay/_roles.py
@@ -11,16 +11,16 @@
 from lycheetide.exchange import Batch, Record
 from lycheetide.gossip import Peer, RegistryUpdate
 
-FRESH_S = 1.1
+HUB_MAX_AGE_S = 1.1
 """Age at which a hub reads the registry again: a heartbeat interval of 0.3 s, a read
 interval of 0.5 s and one lost datagram. Leaving replicas must get no work after 2 s."""
-FRESH_ALONE_S = 1.5
+MAX_AGE_S = 1.5
 """The same for all other nodes, which hear of the hub's read before that."""
 OPERATOR_READERS = 3
 """Number of nodes that wait for operator records in a fleet of one failure domain."""
 DIGEST_MISMATCH_S = 0.15
 """Digests that differ for this long won't be made equal by a message in transit."""
-HUB_SILENT_S = 1.2
+HUB_TIMEOUT_S = 1.2
 """Silence after which a node, which would send heartbeats every 0.3 s, is no longer a
 hub."""
 MAX_MESSAGE_BYTES = 1_100
@@ -51,7 +51,7 @@
     if not relay.is_leaving:
         domain = relay.settings.failure_domain
         hubs[domain], places[domain] = None, relay.place
-    for peer in relay.peers.alive(now_s=now_s, within_s=HUB_SILENT_S):
+    for peer in relay.peers.alive(now_s=now_s, within_s=HUB_TIMEOUT_S):
         domain = peer.failure_domain
         if peer.is_leaving or (domain in places and peer.place >= places[domain]):
             continue
@@ -64,7 +64,7 @@
     return find_hubs(relay, now_s=now_s).get(relay.settings.failure_domain) is None
 
 
-def is_reader(relay, *, now_s):
+def is_registry_reader(relay, *, now_s):
     """Tell whether this node reads the registry for the whole fleet.
 
     The reader is the first hub whose own reads succeed. Nodes may disagree briefly.
@@ -80,7 +80,7 @@
     )
 
 
-def waits_for_operators(relay, *, now_s):
+def must_wait_for_operator_records(relay, *, now_s):
     """Tell whether this node waits at the store for the next operator record.
 
     All hubs do, and also the first nodes of the fleet, so that there are always
@@ -91,19 +91,19 @@
         return True
     before = sum(
         peer.place < relay.place
-        for peer in relay.peers.alive(now_s=now_s, within_s=HUB_SILENT_S)
+        for peer in relay.peers.alive(now_s=now_s, within_s=HUB_TIMEOUT_S)
         if not peer.is_leaving and peer.is_store_reachable
     )
     return before < OPERATOR_READERS
 
 
-def must_read(relay, *, now_s):
+def must_read_registry(relay, *, now_s):
     """Tell whether this node must read the registry itself now."""
     source = relay.registry
-    if source.offset < 0 or is_reader(relay, now_s=now_s):
+    if source.offset < 0 or is_registry_reader(relay, now_s=now_s):
         return True
-    age_s = now_s - source.read_s
-    return age_s > (FRESH_S if is_hub(relay, now_s=now_s) else FRESH_ALONE_S)
+    age_s = now_s - source.complete_until_s
+    return age_s > (HUB_MAX_AGE_S if is_hub(relay, now_s=now_s) else MAX_AGE_S)
 
 
 def compute_outage_end_age_s(relay, *, now_s):
@@ -144,15 +144,15 @@
         Whether the whole registry has to be fetched from that peer.
     """
     source = relay.registry
-    read_s = now_s - heartbeat.registry_age_s
+    complete_until_s = now_s - heartbeat.registry_age_s
     if source.offset < 0 or heartbeat.registry_offset < source.offset:
         return False
     if heartbeat.registry_digest == relay.replicas.digest():
         source.offset = max(source.offset, heartbeat.registry_offset)
-        source.read_s = max(source.read_s, read_s)
+        source.complete_until_s = max(source.complete_until_s, complete_until_s)
         relay.digest_differs_since_s = None
         return False
-    if read_s <= source.read_s:
+    if complete_until_s <= source.complete_until_s:
         return False
     if relay.digest_differs_since_s is None:
         relay.digest_differs_since_s = now_s
--- a/lycheetide/relay/_run.py
+++ b/lycheetide/relay/_run.py
@@ -11,8 +11,8 @@
 from lycheetide.metrics import read_process_age_s
 from lycheetide.relay._datagrams import make_listener
 from lycheetide.relay._follow import follow_operator, follow_registry
-from lycheetide.relay._ingress import make_ingress, make_readiness
-from lycheetide.relay._messaging import Gossip, discover
+from lycheetide.relay._ingress import make_caller_app, make_readiness_app
+from lycheetide.relay._messaging import PeerMessenger, discover
 from lycheetide.relay._peer_state import make_peer_app
 from lycheetide.relay._reload import reload_settings, watch_settings
 from lycheetide.relay._state import RelayState, read_clock
@@ -59,11 +59,11 @@
             if number == signal.SIGHUP:
                 reload_settings(relay, relay.settings_path)
             else:
-                relay.told_to_stop.set()
+                relay.stop_requested.set()
 
 
 async def run_relay(
-    settings, adapter, *, settings_path="", follow_stop=handle_signals, on_start=None
+    settings, adapter, *, settings_path="", stop_task=handle_signals, on_start=None
 ):
     """Run a relay until it is told to stop.
 
@@ -75,8 +75,8 @@
         Implements the protocols of the platform that the relay runs on.
     settings_path : str
         File that is read again when it changes; empty for none.
-    follow_stop : callable
-        Task that sets the relay's ``told_to_stop``; by default it handles the signals
+    stop_task : callable
+        Task that sets the relay's ``stop_requested``; by default it handles the signals
         of the process.
     on_start : callable or None
         Called with the relay's state.
@@ -85,29 +85,29 @@
     node = f"{settings.name}.{time.time_ns() % 10**9:x}.{os.getpid():x}"
     relay = RelayState(settings, adapter, node, settings_path=settings_path)
     listener = make_listener(settings.peer_address)
-    gossip = Gossip(relay, listener)
-    relay.tell_work = gossip.broadcaster.broadcast_via_hubs
-    relay.broadcast_change = gossip.broadcaster.broadcast
-    relay.broadcast_to_domain = gossip.broadcaster.broadcast_to_domain
-    relay.trigger_heartbeat = gossip.trigger_heartbeat
-    relay.take_news = gossip.receive_pending
+    messenger = PeerMessenger(relay, listener)
+    relay.broadcast_work = messenger.broadcaster.broadcast_via_hubs
+    relay.broadcast_change = messenger.broadcaster.broadcast
+    relay.broadcast_to_domain = messenger.broadcaster.broadcast_to_domain
+    relay.trigger_heartbeat = messenger.trigger_heartbeat
+    relay.receive_datagrams = messenger.receive_pending
     stopped = anyio.Event()
     async with anyio.create_task_group() as group:
         relay.tasks = GuardedTasks(group, relay.counters)
         for part in (
             follow_operator,
             follow_registry,
-            gossip.listen,
-            gossip.greet,
-            gossip.broadcaster.pass_on,
-            gossip.expire,
+            messenger.listen,
+            messenger.greet,
+            messenger.broadcaster.pass_on,
+            messenger.expire,
             watch_settings,
             watch_standstill,
         ):
             group.start_soon(keep_running, relay, part)
         relay.tasks.start_soon(discover, relay)
         relay.tasks.start_soon(report_start, relay, process_age_s)
-        await group.start(follow_stop, relay)
+        await group.start(stop_task, relay)
         async with anyio.create_task_group() as servers:
             for app, address, idle_s in list_apps(relay):
                 config = make_server_config(settings, address, idle_s=idle_s)
@@ -115,7 +115,7 @@
             relay.log.info("The node has started.", extra={"member": node})
             if on_start is not None:
                 on_start(relay)
-            await relay.told_to_stop.wait()
+            await relay.stop_requested.wait()
             await _drain(relay)
             # The servers end by themselves, and running requests still need the other
             # tasks; if those were cancelled, the requests would be cut off.
@@ -124,7 +124,7 @@
     relay.used.log(relay, now_s=read_clock(), is_last=True)
     await relay.pool.aclose()
     listener.close()
-    gossip.close()
+    messenger.close()
     relay.log.info("The node has stopped.", extra={"member": node})
 
 
@@ -140,7 +140,7 @@
         libraries and the settings.
     """
     steps = {
-        "configuration_ms": lambda: relay.table is not None,
+        "configuration_ms": lambda: relay.route_table is not None,
         "replicas_ms": lambda: relay.replicas.replicas,
         "ready_ms": lambda: relay.is_ready(now_s=read_clock()),
     }
@@ -158,10 +158,10 @@
     """Return each application of a relay with its address and idle timeout."""
     settings = relay.settings
     apps = (
-        (make_ingress(relay), settings.caller_address, settings.idle_s),
-        (make_readiness(relay), settings.readiness_address, INTERNAL_IDLE_S),
+        (make_caller_app(relay), settings.caller_address, settings.idle_s),
+        (make_readiness_app(relay), settings.readiness_address, INTERNAL_IDLE_S),
         (make_peer_app(relay), settings.peer_address, INTERNAL_IDLE_S),
-        (relay.exposition.make_app(), settings.metrics_address, INTERNAL_IDLE_S),
+        (relay.metrics_exporter.make_app(), settings.metrics_address, INTERNAL_IDLE_S),
     )
     return [row for row in apps if row[1]]
 
--- a/lycheetide/relay/_selection.py
+++ b/lycheetide/relay/_selection.py
@@ -13,7 +13,7 @@
     may_send,
     share_cold_limits,
 )
-from lycheetide.relay._broadcast import find_told_s
+from lycheetide.relay._broadcast import estimate_propagation_s
 from lycheetide.relay._outcomes import Cause, Refusal
 from lycheetide.relay._state import read_clock
 from lycheetide.routes import ANY_ENGINE
@@ -37,7 +37,7 @@
     return relay.random.choices([share.service for share in shares], weights)[0]
 
 
-def is_open(
+def is_within_cold_limit(
     relay, service, candidate, *, find_allowance, now_s, nodes=1, is_last_resort=False
 ):
     """Tell whether one more request may go to a replica within its cold limit.
@@ -92,19 +92,19 @@
     usable : list of Candidate
         All replicas that take work.
     """
-    relay.take_news()
+    relay.receive_datagrams()
     now_s = read_clock()
     homes = (call.route.regions, call.customer.regions if call.customer else ())
     usable = relay.candidates(
-        call.service, now_s=now_s, without=call.list_closed(now_s=now_s), homes=homes
+        call.service, now_s=now_s, without=call.list_excluded(now_s=now_s), homes=homes
     )
-    living = relay.living_nodes(now_s=now_s)
+    living = relay.list_alive_nodes(now_s=now_s)
     find_allowance = share_cold_limits(relay.node, living)
     for is_last_resort in (False, True):
         admissible = [
             one
             for one in usable
-            if is_open(
+            if is_within_cold_limit(
                 relay,
                 call.service,
                 one,
@@ -119,7 +119,7 @@
     return admissible, usable
 
 
-def find_place(relay, call, candidates, *, now_s):
+def find_placement(relay, call, candidates, *, now_s):
     """Return the placement for a call, or None if there is none."""
     if not call.size.prompt_tokens:
         return choose_plain(candidates)
@@ -138,7 +138,7 @@
         helpers_most=0 if call.helpers_refused else HELPERS_MOST,
         unknown=count_unknown(
             relay.job_table.starts_per_s(now_s=now_s),
-            find_told_s(relay, now_s=now_s),
+            estimate_propagation_s(relay, now_s=now_s),
             len(relay.peers.alive(now_s=now_s)) + 1,
         ),
         draw=relay.random.random(),
@@ -151,14 +151,14 @@
         relay.job_table.starts_within(one.id, START_WINDOW_S, now_s=now_s)
         for one in candidates
     )
-    target_s = relay.table.find_shortest_target_s(call.service.name)
+    target_s = relay.route_table.find_shortest_target_s(call.service.name)
     return Arrivals(starts / START_WINDOW_S, target_s)
 
 
 def has_placement(relay, call, *, now_s):
     """Tell whether a replica would take a call at present."""
     admissible, _ = list_candidates(relay, call)
-    return is_worthwhile(call, find_place(relay, call, admissible, now_s=now_s))
+    return is_worthwhile(call, find_placement(relay, call, admissible, now_s=now_s))
 
 
 def find_first_event_due_s(call):
@@ -191,7 +191,7 @@
     begun_s = read_clock()
     while True:
         candidates, usable = list_candidates(relay, call)
-        placement = find_place(relay, call, candidates, now_s=read_clock())
+        placement = find_placement(relay, call, candidates, now_s=read_clock())
         if is_worthwhile(call, placement):
             return placement
         is_unservable = not usable and not call.is_begun
--- a/lycheetide/relay/_serve.py
+++ b/lycheetide/relay/_serve.py
@@ -30,7 +30,7 @@
     if request.time_left_s is not None:
         remaining_s = min(remaining_s, request.time_left_s - ANSWER_MARGIN_S)
     until_s = request.received_s + remaining_s
-    while relay.awaits_first_news() and read_clock() < until_s:
+    while relay.is_loading_first_state() and read_clock() < until_s:
         await anyio.sleep(INITIAL_STATE_POLL_S)
 
 
@@ -43,17 +43,17 @@
         If this node has no configuration yet, or the configuration doesn't permit the
         request.
     """
-    table = relay.table
-    if table is None:
+    route_table = relay.route_table
+    if route_table is None:
         raise Refusal(503, Cause.NOT_READY, retry_after_s=DEFAULT_RETRY_DELAY_S)
     try:
-        route = table.find_route(request.host, request.path)
-        customer = table.find_customer(route, request.credential)
+        route = route_table.find_route(request.host, request.path)
+        customer = route_table.find_customer(route, request.credential)
     except NoRoute as error:
         raise Refusal(404, Cause.NO_ROUTE, message=str(error)) from error
     except NoCustomer as error:
         raise Refusal(401, Cause.UNAUTHENTICATED, message=str(error)) from error
-    service = table.services.get(pick_service(relay, route))
+    service = route_table.services.get(pick_service(relay, route))
     if service is None:
         raise Refusal(503, Cause.NO_REPLICA, retry_after_s=DEFAULT_RETRY_DELAY_S)
     remaining_s = route.timeout_s
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -28,7 +28,7 @@
     UnreadPrompt,
     rank_replicas,
 )
-from lycheetide.relay._usage import Used
+from lycheetide.relay._usage import UsageCounter
 from lycheetide.replicas import ReplicaTable, drop_dark_domains
 from lycheetide.routes import RouteTable
 from lycheetide.tasks import Standstill
@@ -53,7 +53,7 @@
         Newest record by key.
     offset : int
         Offset of the next record to read; -1 before the first listing.
-    read_s : float
+    complete_until_s : float
         Time up to which the records are known to be complete.
     returned_s : float or None
         When reads last succeeded again after an outage.
@@ -65,7 +65,7 @@
 
     records: dict
     offset: int = -1
-    read_s: float = float("-inf")
+    complete_until_s: float = float("-inf")
     returned_s: float | None = None
     is_reachable: bool = False
     failures: int = 0
@@ -96,31 +96,31 @@
         self.counters = Counters(
             make_statsd(settings.statsd_address, settings.statsd_prefix)
         )
-        self.exposition = Exposition(self.counters)
+        self.metrics_exporter = Exposition(self.counters)
         self.random = random.Random(node)
-        self.table: RouteTable | None = None
+        self.route_table: RouteTable | None = None
         self.closed: frozenset[str] = frozenset()
         self.operator = TopicState({})
         self.registry = TopicState({})
         self.replicas = ReplicaTable()
         self.job_table = JobTable()
         self.failure_detector = FailureDetector()
-        self.delays = DelayEstimator()
+        self.message_delays = DelayEstimator()
         self.memory_queue = MemoryQueue()
         self.peers = PeerTable(settings.peer_address, fleet=settings.store_address)
         self.pool = ChannelPool()
         self.standstill = Standstill()
         self.started_s = read_clock()
-        self.used = Used(now_s=self.started_s)
+        self.used = UsageCounter(now_s=self.started_s)
         self.active = 0
         self.is_leaving = False
-        self.told_to_stop = anyio.Event()
+        self.stop_requested = anyio.Event()
         self.tasks = None
-        self.tell_work = None
+        self.broadcast_work = None
         self.broadcast_change = None
         self.broadcast_to_domain = None
         self.trigger_heartbeat = None
-        self.take_news = _do_nothing
+        self.receive_datagrams = _do_nothing
         self.operator_read_scope = None
         self.operator_update = anyio.Event()
         self.digest_differs_since_s = None
@@ -157,7 +157,7 @@
         """Whether this node's last reads of the store succeeded."""
         return not (self.registry.failures or self.operator.failures)
 
-    def awaits_first_news(self):
+    def is_loading_first_state(self):
         """Tell whether this node has just started and its first state may arrive soon.
 
         After a failed read it may not arrive soon.
@@ -185,20 +185,20 @@
             )
         return window
 
-    def next_job(self):
+    def make_attempt_name(self):
         """Return a new name for an attempt, unique within this start of the node."""
         self._attempt_count += 1
         return f"{self._attempt_count:x}"
 
-    def note_placed(self, replica):
+    def record_placed(self, replica):
         """Count a request that this node is about to send to a replica."""
         self._own_placed[replica] += 1
 
-    def note_start(self, replica, *, now_s):
+    def record_sent(self, replica, *, now_s):
         """Count a request that this node sends to a replica."""
         self._own_starts[replica].append(now_s)
 
-    def note_settled(self, replica):
+    def record_placement_ended(self, replica):
         """Uncount a request that was about to be sent, after it was sent or dropped."""
         self._own_placed[replica] -= 1
         if self._own_placed[replica] <= 0:
@@ -236,7 +236,7 @@
             if not self.own_starts(replica, START_WINDOW_S, now_s=now_s):
                 del self._own_starts[replica]
 
-    def living_nodes(self, *, now_s):
+    def list_alive_nodes(self, *, now_s):
         """Return the names of all live nodes, including this one."""
         return {self.node, *(peer.node for peer in self.peers.alive(now_s=now_s))}
 
@@ -247,11 +247,11 @@
         store or a peer. A node that hears from neither can't know which keys, replicas
         or failure domains were removed since.
         """
-        if self.is_leaving or self.table is None or not self.replicas.replicas:
+        if self.is_leaving or self.route_table is None or not self.replicas.replicas:
             return False
         last_heard_s = max(
             [
-                self.operator.read_s,
+                self.operator.complete_until_s,
                 *(peer.last_heard_s for peer in self.peers.peers.values()),
             ]
         )
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -12,7 +12,7 @@
 from lycheetide.placement import CALLER_WAITS_S, pass_s
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._events import EventSplitter
-from lycheetide.relay._evidence import note_failure
+from lycheetide.relay._evidence import record_failed_attempt
 from lycheetide.relay._hedging import HedgedAttempts
 from lycheetide.relay._outcomes import AttemptFailed, Cause, StreamAborted
 from lycheetide.relay._reservations import MemoryUnavailable, reserve_memory
@@ -173,7 +173,7 @@
                         more=more,
                     )
             except AttemptFailed as failure:
-                note_failure(relay, call, placement, failure)
+                record_failed_attempt(relay, call, placement, failure)
                 raise
     except MemoryUnavailable as error:
         raise make_refusal(call, Cause.NO_MEMORY, message=str(error)) from None
@@ -321,13 +321,15 @@
     now_s = read_clock()
     if progress.events == 0:
         progress.first_event_s = now_s - call.request.received_s
-        relay.exposition.observe("first_event", progress.first_event_s, kind="stream")
+        relay.metrics_exporter.observe(
+            "first_event", progress.first_event_s, kind="stream"
+        )
     else:
         pause_s = now_s - progress.forwarded_s
         if pause_s > progress.longest_pause_s:
             progress.longest_pause_s = pause_s
             progress.longest_pause_at_s = now_s - call.request.received_s
-        relay.exposition.observe("pause", pause_s, kind="stream")
+        relay.metrics_exporter.observe("pause", pause_s, kind="stream")
     progress.forwarded_s = now_s
     progress.events += 1
     if event.id:
--- a/lycheetide/relay/_usage.py
+++ b/lycheetide/relay/_usage.py
@@ -7,11 +7,11 @@
 import resource
 from collections import Counter
 
-LOG_S = 10.0
+LOG_INTERVAL_S = 10.0
 """Interval between two lines."""
 
 
-class Used:
+class UsageCounter:
     """Resources that this node has used since the last line.
 
     Parameters
@@ -36,7 +36,7 @@
 
     def log(self, relay, *, now_s, is_last=False):
         """Log the counters and reset them if the interval is over."""
-        if now_s - self._logged_s < LOG_S and not is_last:
+        if now_s - self._logged_s < LOG_INTERVAL_S and not is_last:
             return
         self.note_connections(relay.pool.opened)
         for name, amount in self.counts.items():
--- a/lycheetide/relay/tests/test_answers.py
+++ b/lycheetide/relay/tests/test_answers.py
@@ -115,7 +115,7 @@
                 job = Job("j", f"other-{replica.name}", parts, now_s, now_s + 20.0)
                 relay.job_table.start(job, now_s=now_s)
 
-        relay.living_nodes = lambda now_s: {
+        relay.list_alive_nodes = lambda now_s: {
             relay.node, *(f"other-{replica.name}" for replica in fleet.replicas)
         }  # fmt: skip
         async with anyio.create_task_group() as group:
@@ -300,7 +300,7 @@
             parts = (JobPart(replica.name, 5.0, 100),)
             job = Job("j", f"other-{replica.name}", parts, now_s, now_s + 20.0)
             relay.job_table.start(job, now_s=now_s)
-        relay.living_nodes = lambda now_s: {
+        relay.list_alive_nodes = lambda now_s: {
             relay.node, *(f"other-{replica.name}" for replica in fleet.replicas)
         }  # fmt: skip
         begun_s = time.monotonic()
@@ -444,7 +444,7 @@
         fleet.store.remove("keyed.servers", "r-0")
         await fleet.wait_for(
             lambda: not list(fleet.relays[0].candidates(
-                fleet.relays[0].table.services["models"], now_s=1e9))
+                fleet.relays[0].route_table.services["models"], now_s=1e9))
         )  # fmt: skip
         with anyio.fail_after(0.3):
             answer = await fleet.stream()
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -58,7 +58,9 @@
         first, stalled = fleet.relays
         for number in range(USABLE_PER_S):
             parts = (JobPart("r-0", 0.0),)
-            first.tell_work(Started(first.node, f"x{number}", parts, expires_in_ms=500))
+            first.broadcast_work(
+                Started(first.node, f"x{number}", parts, expires_in_ms=500)
+            )
         # Nothing was awaited since, so no node has read a message yet.
         open_now, usable = list_candidates(stalled, make_lookup(stalled))
     assert {one.id for one in usable} == {"r-0", "r-1"}
@@ -75,7 +77,7 @@
         await wait_for_peers(fleet)
         late, other = fleet.relays
         sent_s = []
-        open_channel, note_start = late.pool.open, late.note_start
+        open_channel, record_sent = late.pool.open, late.record_sent
 
         async def open_late(*args, **options):
             await anyio.sleep(0.35)
@@ -83,10 +85,10 @@
 
         def keep_start(replica, *, now_s):
             sent_s.append(now_s)
-            note_start(replica, now_s=now_s)
+            record_sent(replica, now_s=now_s)
 
         late.pool.open = open_late
-        late.note_start = keep_start
+        late.record_sent = keep_start
         assert (await fleet.look()).status_code == 200
         await anyio.sleep(sent_s[0] + 0.85 - time.monotonic())
         counted = other.job_table.starts_within(
--- a/lycheetide/relay/tests/test_first_news.py
+++ b/lycheetide/relay/tests/test_first_news.py
@@ -37,7 +37,7 @@
         late = await fleet.start_relay(wait=False)
         late.peers.peers.clear()
         await anyio.sleep(alone_s)
-        assert late.table is None
+        assert late.route_table is None
         address = fleet.relays[0].settings.peer_address
         late.peers.add_address(address, now_s=time.monotonic())
         late.trigger_heartbeat()
--- a/lycheetide/relay/tests/test_knowledge.py
+++ b/lycheetide/relay/tests/test_knowledge.py
@@ -23,7 +23,9 @@
 
 
 def has_version(relay, version):
-    return relay.table is not None and relay.table.routing.version >= version
+    return (
+        relay.route_table is not None and relay.route_table.routing.version >= version
+    )
 
 
 async def test_a_new_configuration_is_in_force_everywhere():
@@ -46,7 +48,7 @@
         fleet.store.compact("keyed.op")
         fleet.store.put("keyed.op", "config", make_config(version=3, routes=[]))
         await anyio.sleep(0.3)
-        assert fleet.relays[0].table.routing.version == 7
+        assert fleet.relays[0].route_table.routing.version == 7
         assert (await fleet.look()).status_code == 200
 
 
@@ -201,7 +203,7 @@
             value = fleet.replicas[0].entry(address="127.0.0.1:9") | value
         fleet.store.put("keyed.servers", "stranger", value)
         await anyio.sleep(0.2)
-        service = fleet.relays[0].table.services["models"]
+        service = fleet.relays[0].route_table.services["models"]
         names = {one.id for one in fleet.relays[0].candidates(service, now_s=0.0)}
         answer = await fleet.look()
     assert names == {"r-0", "r-1"}
@@ -226,7 +228,7 @@
         assert (await fleet.look()).status_code == 200
         fleet.store.put("keyed.servers", "r-0", fleet.replicas[0].entry(seq=9))
         await anyio.sleep(2.2)
-        service = relay.table.services["models"]
+        service = relay.route_table.services["models"]
         now_s = relay.replicas.replicas["r-0"].seen_s + 60.0
         names = {one.id for one in relay.candidates(service, now_s=now_s)}
     assert names == {"r-0"}
@@ -259,7 +261,7 @@
         UnreachableStoreClient.is_unreachable = False
         fleet.store.remove("keyed.servers", "r-0")
         await anyio.sleep(0.9)
-        service = cut.table.services["models"]
+        service = cut.route_table.services["models"]
         now_s = time.monotonic()
         names = {one.id for one in cut.candidates(service, now_s=now_s)}
         assert other.registry.is_reachable
@@ -286,7 +288,7 @@
         relay = await fleet.start_relay(wait=False)
         address = fleet.relays[0].settings.peer_address
         relay.peers.add_address(address, now_s=time.monotonic())
-        await fleet.wait_for(lambda: relay.table and relay.replicas.replicas)
+        await fleet.wait_for(lambda: relay.route_table and relay.replicas.replicas)
         assert (await fleet.look(relay=1)).status_code == 200
 
 
@@ -315,7 +317,7 @@
             f"http://{relay.settings.readiness_address}/-/ready"
         )
         relay.peers.peers.clear()
-        answer = await fleet.look(relay=1) if relay.table is None else None
+        answer = await fleet.look(relay=1) if relay.route_table is None else None
     assert ready.status_code == 503
     assert answer is None or answer.status_code == 503
 
@@ -335,18 +337,18 @@
         await fleet.wait_for(lambda: ours.counters.counts["peers.strange_datagram"])
         await anyio.sleep(0.4)
         assert ours.peers.alive(now_s=now_s) == []
-        assert ours.table.routing.version == 1
+        assert ours.route_table.routing.version == 1
 
 
 def record_sent_requests(relay, sent):
     """Record when a relay sends a request to which replica."""
-    real = relay.note_start
+    real = relay.record_sent
 
-    def note_start(replica, *, now_s):
+    def record_sent(replica, *, now_s):
         sent.append((replica, now_s))
         real(replica, now_s=now_s)
 
-    relay.note_start = note_start
+    relay.record_sent = record_sent
 
 
 async def test_a_cold_replica_gets_no_more_than_its_share_from_all_nodes():
--- a/lycheetide/relay/tests/test_large.py
+++ b/lycheetide/relay/tests/test_large.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lycheetide.relay._selection import find_place, list_candidates
+from lycheetide.relay._selection import find_placement, list_candidates
 from standins.large import make_call, make_large_relay
 
 ROUNDS = 10
@@ -16,7 +16,7 @@
     for _ in range(ROUNDS):
         begun_s = time.perf_counter()
         candidates, _ = list_candidates(relay, call)
-        find_place(relay, call, candidates, now_s=time.monotonic())
+        find_placement(relay, call, candidates, now_s=time.monotonic())
         times.append(time.perf_counter() - begun_s)
     return min(times)
 
--- a/lycheetide/relay/tests/test_readers.py
+++ b/lycheetide/relay/tests/test_readers.py
@@ -9,14 +9,14 @@
 import pytest
 
 from lycheetide.relay._roles import (
-    FRESH_ALONE_S,
-    FRESH_S,
-    HUB_SILENT_S,
+    HUB_MAX_AGE_S,
+    HUB_TIMEOUT_S,
+    MAX_AGE_S,
     OPERATOR_READERS,
     is_hub,
-    is_reader,
-    must_read,
-    waits_for_operators,
+    is_registry_reader,
+    must_read_registry,
+    must_wait_for_operator_records,
 )
 from lycheetide.relay.tests.test_spreading import DOMAINS, make_fleet, make_heartbeat
 
@@ -28,7 +28,7 @@
 
 def find_readers(nodes, *, now_s):
     """Return the nodes that read the registry for the fleet."""
-    return [node for node in nodes if is_reader(node, now_s=now_s)]
+    return [node for node in nodes if is_registry_reader(node, now_s=now_s)]
 
 
 def deliver_hellos(receivers, senders, *, now_s):
@@ -57,13 +57,13 @@
     (reader,) = find_readers(nodes, now_s=now_s)
     others = [node for node in nodes if node is not reader]
     for node in others:
-        node.registry.read_s = now_s
-    later_s = now_s + FRESH_S + 0.01
+        node.registry.complete_until_s = now_s
+    later_s = now_s + HUB_MAX_AGE_S + 0.01
     deliver_hellos(others, others, now_s=later_s - 0.1)
-    reading = [node for node in others if must_read(node, now_s=later_s)]
+    reading = [node for node in others if must_read_registry(node, now_s=later_s)]
     assert 0 < len(reading) < len(DOMAINS)
     assert all(is_hub(node, now_s=later_s) for node in reading)
-    assert FRESH_S + POLL_S < FRESH_ALONE_S + POLL_S < DRAIN_S
+    assert HUB_MAX_AGE_S + POLL_S < MAX_AGE_S + POLL_S < DRAIN_S
 
 
 def test_a_reader_whose_reads_fail_is_replaced():
@@ -85,7 +85,7 @@
     """Two failure domains receive nothing from the other two."""
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
-    now_s = now_s + HUB_SILENT_S + 0.1
+    now_s = now_s + HUB_TIMEOUT_S + 0.1
     for side in (DOMAINS[:2], DOMAINS[2:]):
         connected = [node for node in nodes if node.settings.failure_domain in side]
         deliver_hellos(connected, connected, now_s=now_s)
@@ -99,16 +99,16 @@
     """
     now_s = time.monotonic()
     nodes = list(make_fleet(22, now_s=now_s).values())
-    now_s = now_s + HUB_SILENT_S + 0.1
+    now_s = now_s + HUB_TIMEOUT_S + 0.1
     not_hearing_d = [node for node in nodes if node.settings.failure_domain != "d"]
     deliver_hellos(not_hearing_d, not_hearing_d, now_s=now_s)
     deliver_hellos(
         [node for node in nodes if node not in not_hearing_d], nodes, now_s=now_s
     )
     for node in nodes:
-        node.registry.read_s = now_s - 0.6
+        node.registry.complete_until_s = now_s - 0.6
     (reader,) = find_readers(not_hearing_d, now_s=now_s)
-    reading = [node for node in nodes if must_read(node, now_s=now_s)]
+    reading = [node for node in nodes if must_read_registry(node, now_s=now_s)]
     assert reader in reading
     assert len(reading) <= 2
 
@@ -116,8 +116,8 @@
 def test_an_isolated_node_reads_the_registry_itself():
     """Guards against an isolated node sending work to replicas that have left."""
     (node, *_) = make_fleet(22).values()
-    later_s = time.monotonic() + HUB_SILENT_S + 0.1
-    assert must_read(node, now_s=later_s)
+    later_s = time.monotonic() + HUB_TIMEOUT_S + 0.1
+    assert must_read_registry(node, now_s=later_s)
 
 
 @pytest.mark.parametrize("size", [2, 9, 22, 195])
@@ -128,7 +128,9 @@
     """
     now_s = time.monotonic()
     nodes = list(make_fleet(size, now_s=now_s).values())
-    waiting = [node for node in nodes if waits_for_operators(node, now_s=now_s)]
+    waiting = [
+        node for node in nodes if must_wait_for_operator_records(node, now_s=now_s)
+    ]
     assert min(size, 3) <= len(waiting) <= len(DOMAINS) + OPERATOR_READERS - 1
 
 
@@ -139,11 +141,15 @@
     """
     now_s = time.monotonic()
     nodes = list(make_fleet(9, domains=("a",), now_s=now_s).values())
-    waiting = [node for node in nodes if waits_for_operators(node, now_s=now_s)]
+    waiting = [
+        node for node in nodes if must_wait_for_operator_records(node, now_s=now_s)
+    ]
     assert len(waiting) == 3
 
 
 def test_an_isolated_node_waits_for_operator_records():
     """Guards against an isolated node never receiving a new configuration."""
     (node, *_) = make_fleet(60).values()
-    assert waits_for_operators(node, now_s=time.monotonic() + HUB_SILENT_S + 0.1)
+    assert must_wait_for_operator_records(
+        node, now_s=time.monotonic() + HUB_TIMEOUT_S + 0.1
+    )
--- a/lycheetide/relay/tests/test_shares.py
+++ b/lycheetide/relay/tests/test_shares.py
@@ -4,7 +4,7 @@
 
 from lycheetide import platform
 from lycheetide.placement import share_cold_limits
-from lycheetide.relay._selection import is_open
+from lycheetide.relay._selection import is_within_cold_limit
 from lycheetide.relay._state import RelayState
 from lycheetide.settings import RelaySettings
 
@@ -25,8 +25,10 @@
     """Place requests until the node's share is used up; return their number."""
     find_allowance = share_cold_limits(relay.node, {relay.node, "o.1.1", "p.1.1"})
     placed = 0
-    while is_open(relay, SERVICE, COLD, find_allowance=find_allowance, now_s=now_s):
-        relay.note_placed("r")
+    while is_within_cold_limit(
+        relay, SERVICE, COLD, find_allowance=find_allowance, now_s=now_s
+    ):
+        relay.record_placed("r")
         placed += 1
     return placed
 
@@ -40,8 +42,8 @@
     relay = make_relay()
     placed = sum(place_until_refused(relay, now_s=0.2 * step) for step in range(10))
     for _ in range(placed):
-        relay.note_settled("r")
-        relay.note_start("r", now_s=2.0)
+        relay.record_placement_ended("r")
+        relay.record_sent("r", now_s=2.0)
     assert placed == 4
     assert place_until_refused(relay, now_s=2.5) == 0
     assert place_until_refused(relay, now_s=3.1) == 4
@@ -54,5 +56,5 @@
     """
     relay = make_relay()
     for _ in range(place_until_refused(relay, now_s=0.0)):
-        relay.note_settled("r")
+        relay.record_placement_ended("r")
     assert place_until_refused(relay, now_s=0.1) == 4
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -7,7 +7,11 @@
 
 from lycheetide.gossip import RegistryUpdate
 from lycheetide.relay import _follow, _peer_state
-from lycheetide.relay._roles import is_hub, must_read, waits_for_operators
+from lycheetide.relay._roles import (
+    is_hub,
+    must_read_registry,
+    must_wait_for_operator_records,
+)
 from standins.relayed import Relayed, make_config
 
 pytestmark = pytest.mark.anyio
@@ -46,7 +50,7 @@
             )
         )
         now_s = time.monotonic()
-        assert not any(must_read(relay, now_s=now_s) for relay in followers)
+        assert not any(must_read_registry(relay, now_s=now_s) for relay in followers)
         reads = [one for one in fleet.store.calls[len(counts) :] if "servers" in one]
     assert took_s < 0.5
     assert len(reads) <= 12
@@ -73,7 +77,7 @@
             lambda: follower.replicas.replicas["r-0"].entry.is_draining
         )
         fetched = follower.counters.counts["peers.fetched.registry"]
-        fallback = follower.registry.read_s
+        fallback = follower.registry.complete_until_s
     assert took_s < 1.5
     assert fetched >= 1 or fallback > 0
 
@@ -131,7 +135,7 @@
         late = await fleet.start_relay()
         calls = fleet.store.calls[before:]
         lists = [one for one in calls if "newest" in one and "nodes" not in one]
-        assert late.table.routing.version == reader.table.routing.version
+        assert late.route_table.routing.version == reader.route_table.routing.version
         assert set(late.replicas.replicas) == set(reader.replicas.replicas)
     assert lists == []
 
@@ -148,7 +152,9 @@
             fleet.store.put("keyed.op", "config", make_config(version=version))
             await anyio.sleep(0.08)
         took_s = await fleet.wait_for(
-            lambda: all(relay.table.routing.version == 21 for relay in fleet.relays)
+            lambda: all(
+                relay.route_table.routing.version == 21 for relay in fleet.relays
+            )
         )
         reads = [one for one in fleet.store.calls[before:] if "keyed.op" in one]
     assert took_s < 1.0
@@ -183,7 +189,7 @@
 async def wait_for_version(fleet, relays, version):
     """Wait until a configuration is in force at all nodes; return how long it took."""
     return await fleet.wait_for(
-        lambda: all(relay.table.routing.version == version for relay in relays)
+        lambda: all(relay.route_table.routing.version == version for relay in relays)
     )
 
 
@@ -216,7 +222,9 @@
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
         refused_nodes = [
-            r for r in fleet.relays if not waits_for_operators(r, now_s=now_s)
+            r
+            for r in fleet.relays
+            if not must_wait_for_operator_records(r, now_s=now_s)
         ]
         assert refused_nodes
 
@@ -241,7 +249,9 @@
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
-        readers = [r for r in fleet.relays if waits_for_operators(r, now_s=now_s)]
+        readers = [
+            r for r in fleet.relays if must_wait_for_operator_records(r, now_s=now_s)
+        ]
         others = [relay for relay in fleet.relays if relay not in readers]
         assert (len(readers), len(others)) == (3, 3)
         frozen = {relay.node for relay in readers}
@@ -268,7 +278,9 @@
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
         relay = next(
-            one for one in fleet.relays if not waits_for_operators(one, now_s=now_s)
+            one
+            for one in fleet.relays
+            if not must_wait_for_operator_records(one, now_s=now_s)
         )
         looks = []
         is_behind_peers = relay.is_behind_peers
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -23,8 +23,8 @@
 )
 from lycheetide.relay import _broadcast
 from lycheetide.relay._broadcast import MAX_BUNDLE_BYTES, Broadcaster, make_bundles
-from lycheetide.relay._messaging import BURST_PAUSE_S, MAX_BURST, Gossip
-from lycheetide.relay._roles import HUB_SILENT_S, find_hubs, is_hub
+from lycheetide.relay._messaging import BURST_PAUSE_S, MAX_BURST, PeerMessenger
+from lycheetide.relay._roles import HUB_TIMEOUT_S, find_hubs, is_hub
 from standins.relayed import Relayed
 
 pytestmark = pytest.mark.anyio
@@ -50,7 +50,7 @@
             failure_domain=domains[index % len(domains)], link_mbps=link_mbps
         ),
         peers=PeerTable(f"10.0.0.{index}:7"),
-        registry=SimpleNamespace(offset=1, read_s=0.0, failures=0),
+        registry=SimpleNamespace(offset=1, complete_until_s=0.0, failures=0),
         is_store_reachable=True,
         sent=[],
     )
@@ -143,7 +143,7 @@
     node = next(iter(fleet.values()))
     now_s = time.monotonic()
     silent = next(hub for hub in find_hubs(node, now_s=now_s).values() if hub)
-    later_s = now_s + HUB_SILENT_S + 0.1
+    later_s = now_s + HUB_TIMEOUT_S + 0.1
     for other in fleet.values():
         if other.node not in (node.node, silent.node):
             node.peers.hear(make_heartbeat(other), now_s=later_s - 0.1)
@@ -220,25 +220,25 @@
     assert job_table.workload("r").writers == 3
 
 
-def make_gossip(node):
-    """Return a node's ``Gossip`` without sockets."""
-    gossip = Gossip.__new__(Gossip)
-    gossip.relay = node
-    return gossip
+def make_messenger(node):
+    """Return a node's ``PeerMessenger`` without sockets."""
+    messenger = PeerMessenger.__new__(PeerMessenger)
+    messenger.relay = node
+    return messenger
 
 
 def count_heartbeats_per_s(fleet, *, now_s):
     """Return the number of heartbeats per second that each address receives."""
     per_s: Counter[str] = Counter()
     for node in fleet.values():
-        gossip = make_gossip(node)
-        intervals = gossip._choose_intervals(len(fleet) - 1, now_s=now_s)
+        messenger = make_messenger(node)
+        intervals = messenger._choose_intervals(len(fleet) - 1, now_s=now_s)
         # A heartbeat to the hubs replaces one within the failure domain.
         domain_per_s = 1 / intervals.domain_s - 1 / intervals.hubs_s
         for addresses, rate_per_s in (
             (list(fleet), 1 / intervals.all_s),
-            (gossip._list_hub_targets(now_s=now_s), 1 / intervals.hubs_s),
-            (gossip._list_domain_targets(now_s=now_s), domain_per_s),
+            (messenger._list_hub_targets(now_s=now_s), 1 / intervals.hubs_s),
+            (messenger._list_domain_targets(now_s=now_s), domain_per_s),
         ):
             for address in addresses:
                 per_s[address] += rate_per_s
@@ -270,9 +270,9 @@
     node = next(iter(fleet.values()))
     now_s = time.monotonic()
     node.peers.add_address("10.0.9.9:7", now_s=now_s)
-    gossip = make_gossip(node)
-    assert "10.0.9.9:7" in gossip._list_hub_targets(now_s=now_s)
-    assert gossip._choose_intervals(60, now_s=now_s).hubs_s <= 2.0
+    messenger = make_messenger(node)
+    assert "10.0.9.9:7" in messenger._list_hub_targets(now_s=now_s)
+    assert messenger._choose_intervals(60, now_s=now_s).hubs_s <= 2.0
 
 
 def test_a_hub_gets_frequent_heartbeats_only_from_its_failure_domain():
@@ -294,9 +294,9 @@
     fleet = make_fleet(count, now_s=now_s)
     per_s = 0.0
     for node in fleet.values():
-        intervals = make_gossip(node)._choose_intervals(count - 1, now_s=now_s)
+        intervals = make_messenger(node)._choose_intervals(count - 1, now_s=now_s)
         per_s += 1 / intervals.domain_s
-        assert 2 * intervals.domain_s < HUB_SILENT_S or not is_hub(node, now_s=now_s)
+        assert 2 * intervals.domain_s < HUB_TIMEOUT_S or not is_hub(node, now_s=now_s)
     assert per_s < most_per_s
 
 
--- a/lycheetide/relay/tests/test_start.py
+++ b/lycheetide/relay/tests/test_start.py
@@ -39,7 +39,7 @@
 def apply_first_listing(caplog, batch):
     """Apply a first listing at a new node; return it, its messages and its logs."""
     relay = make_large_relay(1, 0)
-    relay.table = None
+    relay.route_table = None
     relay.replicas = ReplicaTable()
     messages: list = []
     relay.broadcast_change = messages.append
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -37,7 +37,8 @@
     """Register a job of 20 s at a replica in a node's job table."""
     now_s = time.monotonic()
     started = Started(
-        relay.node, relay.next_job(), (JobPart(replica, read_s, kv_tokens, True),),
+        relay.node, relay.make_attempt_name(),
+        (JobPart(replica, read_s, kv_tokens, True),),
         expires_in_ms=20_000, due_in_ms=300, gap_ms=250, weight_hundredths=100,
     )  # fmt: skip
     relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
@@ -329,7 +330,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(configure)
             data, _ = await read_stream(fleet)
-        assert relay.table.routing.version == 2
+        assert relay.route_table.routing.version == 2
     assert data == WHOLE_STREAM
 
 
--- a/standins/large.py
+++ b/standins/large.py
@@ -40,8 +40,8 @@
             "", f"front-{n}.3b9aca00.1f", f"10.0.0.{n}:7", domain, 1, 1, 0.0
         )
         relay.peers.hear(heartbeat, now_s=now_s)
-    table: Any = SimpleNamespace(find_shortest_target_s=lambda _: 0.4)
-    relay.table = table
+    route_table: Any = SimpleNamespace(find_shortest_target_s=lambda _: 0.4)
+    relay.route_table = route_table
     return relay
 
 
@@ -60,7 +60,7 @@
         service=SimpleNamespace(
             name=SERVICE, cold_requests_per_s=cold_per_s, engine=ENGINE
         ),
-        list_closed=list_no_exclusions,
+        list_excluded=list_no_exclusions,
         size=Size(prompt_tokens, 1_500),
         request=SimpleNamespace(received_s=time.monotonic()),
         helpers_refused=False,
--- a/standins/relayed.py
+++ b/standins/relayed.py
@@ -140,16 +140,16 @@
             stop_s=self.stop_notice_s + 2.0,
         )  # fmt: skip
 
-        async def follow_stop(relay, *, task_status):
+        async def stop_task(relay, *, task_status):
             task_status.started()
             await stop.wait()
-            relay.told_to_stop.set()
+            relay.stop_requested.set()
 
         async def run():
             self.running += 1
             try:
                 await run_relay(
-                    settings, adapter, follow_stop=follow_stop,
+                    settings, adapter, stop_task=stop_task,
                     on_start=self.relays.append,
                 )  # fmt: skip
             finally:
@@ -161,7 +161,7 @@
         for address in (settings.caller_address, settings.readiness_address):
             await self.wait_for_listener(address)
         if wait:
-            await self.wait_for(lambda: relay.table and relay.replicas.replicas)
+            await self.wait_for(lambda: relay.route_table and relay.replicas.replicas)
         return relay
 
     async def wait_for_listener(self, address):
