--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -21,7 +21,7 @@
 )
 from lycheetide.placement import Candidate, Size, choose_prompt
 from lycheetide.relay._selection import find_placement, list_candidates
-from lycheetide.replicas import Change, Entry, ReplicaTable
+from lycheetide.replicas import RegistryChange, RegistryEntry, ReplicaTable
 from lycheetide.routes import ANY_ENGINE
 from standins.large import make_call, make_large_relay
 
@@ -114,12 +114,12 @@
 def measure_digest(count):
     """Return the cost of a digest of a table with ``count`` replicas."""
     table = ReplicaTable()
-    entries = [Entry(f"r{n}", "m", "10.0.0.1:1", "a", 8, False, 0.0, 1, 1)
+    entries = [RegistryEntry(f"r{n}", "m", "10.0.0.1:1", "a", 8, False, 0.0, 1, 1)
                for n in range(count)]  # fmt: skip
 
     def run(number):
         entry = entries[number % count]
-        table.apply([Change(entry.id, number, entry)], now_s=0.0)
+        table.apply([RegistryChange(entry.id, number, entry)], now_s=0.0)
         table.digest()
 
     return measure_cpu_us(run, 300)
--- a/lycheetide/platform/_registry.py
+++ b/lycheetide/platform/_registry.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from lycheetide.exchange import Record
-from lycheetide.replicas import Change, Entry
+from lycheetide.replicas import RegistryChange, RegistryEntry
 
 
 class _Entry(msgspec.Struct, frozen=True, rename="camel"):
@@ -24,7 +24,7 @@
 
 def decode_registry_records(
     records: Iterable[Record], *, services, skipped: list[str]
-) -> Iterator[Change]:
+) -> Iterator[RegistryChange]:
     """Decode registry records into changes of the registry.
 
     Parameters
@@ -40,12 +40,12 @@
 
     Yields
     ------
-    Change
+    RegistryChange
         The new entry of a replica, or None as the entry if it was removed.
     """
     for record in records:
         if record.value is None:
-            yield Change(record.key, record.offset, None)
+            yield RegistryChange(record.key, record.offset, None)
             continue
         try:
             entry = msgspec.json.decode(record.value, type=_Entry)
@@ -55,12 +55,12 @@
         if services and entry.service not in services:
             skipped.append(f"{record.key}: no such service {entry.service!r}")
             continue
-        yield Change(record.key, record.offset, _make_entry(record.key, entry))
+        yield RegistryChange(record.key, record.offset, _make_entry(record.key, entry))
 
 
 def _make_entry(name, entry):
     """Convert an entry to the type of this project."""
-    return Entry(
+    return RegistryEntry(
         id=name,
         service=entry.service,
         address=entry.address,
--- a/lycheetide/platform/_requests.py
+++ b/lycheetide/platform/_requests.py
@@ -139,7 +139,7 @@
         The caller's request.
     body : bytes
         The body of the caller's request.
-    replica : Entry
+    replica : RegistryEntry
         The replica; no other replica may run the request.
     customer : str
         The customer who sent the request; empty if there is none.
--- a/lycheetide/relay/_apply_records.py
+++ b/lycheetide/relay/_apply_records.py
@@ -120,13 +120,15 @@
     for line in skipped:
         relay.counters.add("registry.skipped")
         relay.log.info("An entry of the registry is skipped.", extra={"entry": line})
-    returned_s = relay.registry.returned_s
+    outage_ended_s = relay.registry.outage_ended_s
     if batch.is_listing:
-        applied = relay.replicas.list_all(
-            changes, batch.end, now_s=now_s, returned_s=returned_s
+        applied = relay.replicas.apply_listing(
+            changes, batch.end, now_s=now_s, outage_ended_s=outage_ended_s
         )
     else:
-        applied = relay.replicas.apply(changes, now_s=now_s, returned_s=returned_s)
+        applied = relay.replicas.apply(
+            changes, now_s=now_s, outage_ended_s=outage_ended_s
+        )
         relay.replicas.end = max(relay.replicas.end, batch.end)
     return applied
 
@@ -193,9 +195,11 @@
 def record_outage_end(relay, age_s, *, now_s):
     """Record that a peer saw the registry recover from an outage for all nodes."""
     if age_s >= 0:
-        known_s = relay.registry.returned_s
+        known_s = relay.registry.outage_ended_s
         told_s = now_s - age_s
-        relay.registry.returned_s = told_s if known_s is None else max(known_s, told_s)
+        relay.registry.outage_ended_s = (
+            told_s if known_s is None else max(known_s, told_s)
+        )
 
 
 def apply_peer_changes(relay, message, *, now_s):
--- a/lycheetide/relay/_follow.py
+++ b/lycheetide/relay/_follow.py
@@ -113,7 +113,7 @@
     if not source.is_reachable:
         relay.log.info("The store answers.", extra={"topic": name})
         if was_full_outage(relay, source, now_s=now_s):
-            source.returned_s = now_s
+            source.outage_ended_s = now_s
     if name == "registry" and source.failures and relay.operator_read_scope is not None:
         # The waiting read for a configuration may have been sent while the store was
         # silent. It would never be answered, and would delay the next version.
--- a/lycheetide/relay/_roles.py
+++ b/lycheetide/relay/_roles.py
@@ -108,8 +108,8 @@
 
 def compute_outage_end_age_s(relay, *, now_s):
     """Return the time since the registry's last outage, below 0 if it had none."""
-    returned_s = relay.registry.returned_s
-    return -1.0 if returned_s is None else now_s - returned_s
+    outage_ended_s = relay.registry.outage_ended_s
+    return -1.0 if outage_ended_s is None else now_s - outage_ended_s
 
 
 def make_change_messages(relay, changes, *, now_s):
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -29,7 +29,7 @@
     rank_replicas,
 )
 from lycheetide.relay._usage import UsageCounter
-from lycheetide.replicas import ReplicaTable, drop_dark_domains
+from lycheetide.replicas import ReplicaTable, exclude_failed_domains
 from lycheetide.routes import RouteTable
 from lycheetide.tasks import Standstill
 
@@ -55,7 +55,7 @@
         Offset of the next record to read; -1 before the first listing.
     complete_until_s : float
         Time up to which the records are known to be complete.
-    returned_s : float or None
+    outage_ended_s : float or None
         When reads last succeeded again after an outage.
     is_reachable : bool
         Whether the last read succeeded.
@@ -66,7 +66,7 @@
     records: dict
     offset: int = -1
     complete_until_s: float = float("-inf")
-    returned_s: float | None = None
+    outage_ended_s: float | None = None
     is_reachable: bool = False
     failures: int = 0
 
@@ -276,10 +276,10 @@
             self.replicas.usable(service.name, now_s=now_s, closed=self.closed)
         )
         ranks = self._rank(frozenset(replica.entry.id for replica in usable))
-        usable = drop_dark_domains(
+        usable = exclude_failed_domains(
             usable,
-            troubled_s=self.failure_detector.last_failure_s,
-            answered_s=self.failure_detector.last_answer_s,
+            last_failure_s=self.failure_detector.last_failure_s,
+            last_answer_s=self.failure_detector.last_answer_s,
             now_s=now_s,
         )
         usable = [replica for replica in usable if replica.entry.id not in without]
--- a/lycheetide/relay/tests/test_knowledge.py
+++ b/lycheetide/relay/tests/test_knowledge.py
@@ -229,7 +229,7 @@
         fleet.store.put("keyed.servers", "r-0", fleet.replicas[0].entry(seq=9))
         await anyio.sleep(2.2)
         service = relay.route_table.services["models"]
-        now_s = relay.replicas.replicas["r-0"].seen_s + 60.0
+        now_s = relay.replicas.replicas["r-0"].first_seen_s + 60.0
         names = {one.id for one in relay.candidates(service, now_s=now_s)}
     assert names == {"r-0"}
 
--- a/lycheetide/relay/tests/test_start.py
+++ b/lycheetide/relay/tests/test_start.py
@@ -15,7 +15,7 @@
     broadcast_changes,
     is_starting,
 )
-from lycheetide.replicas import Change, ReplicaTable
+from lycheetide.replicas import RegistryChange, ReplicaTable
 from standins.large import make_large_relay
 from standins.replica import Replica
 
@@ -104,7 +104,7 @@
     messages = []
     relay.broadcast_change = lambda message: messages.append("all")
     relay.broadcast_to_domain = lambda message: messages.append("near")
-    change = Change("i-0000000000", 99, None)
+    change = RegistryChange("i-0000000000", 99, None)
     broadcast_changes(relay, [change], now_s=now_s)
     assert messages == ([expected] if expected else [])
 
--- a/lycheetide/replicas/__init__.py
+++ b/lycheetide/replicas/__init__.py
@@ -1,6 +1,17 @@
 """The table of replicas, built from the records of the registry."""
 
-from lycheetide.replicas._domains import drop_dark_domains
-from lycheetide.replicas._table import Change, Entry, Replica, ReplicaTable
+from lycheetide.replicas._domains import exclude_failed_domains
+from lycheetide.replicas._table import (
+    RegistryChange,
+    RegistryEntry,
+    Replica,
+    ReplicaTable,
+)
 
-__all__ = ["Change", "Entry", "Replica", "ReplicaTable", "drop_dark_domains"]
+__all__ = [
+    "RegistryChange",
+    "RegistryEntry",
+    "Replica",
+    "ReplicaTable",
+    "exclude_failed_domains",
+]
--- a/lycheetide/replicas/_domains.py
+++ b/lycheetide/replicas/_domains.py
@@ -17,11 +17,11 @@
 """
 
 
-def drop_dark_domains(
+def exclude_failed_domains(
     replicas: Iterable[Replica],
     *,
-    troubled_s: Callable[[str], float],
-    answered_s: Callable[[str], float],
+    last_failure_s: Callable[[str], float],
+    last_answer_s: Callable[[str], float],
     now_s: float,
 ):
     """Return the replicas whose failure domain has not failed.
@@ -35,9 +35,9 @@
     ----------
     replicas : iterable of Replica
         The usable replicas.
-    troubled_s : callable
+    last_failure_s : callable
         Returns when the replica with a given id last failed; -inf for never.
-    answered_s : callable
+    last_answer_s : callable
         Returns when that replica last answered this node; -inf for never.
     now_s : float
         The present time.
@@ -53,7 +53,7 @@
     failed_domains = {
         domain
         for domain, replica_ids in domains.items()
-        if _has_failed(replica_ids, troubled_s, answered_s, now_s=now_s)
+        if _has_failed(replica_ids, last_failure_s, last_answer_s, now_s=now_s)
     }
     remaining = [
         replica
@@ -65,11 +65,13 @@
     return remaining
 
 
-def _has_failed(replica_ids, troubled_s, answered_s, *, now_s):
+def _has_failed(replica_ids, last_failure_s, last_answer_s, *, now_s):
     """Tell whether the replicas of a failure domain have failed together."""
     failed_s = [
-        at_s for at_s in map(troubled_s, replica_ids) if now_s - at_s < FAILURE_WINDOW_S
+        at_s
+        for at_s in map(last_failure_s, replica_ids)
+        if now_s - at_s < FAILURE_WINDOW_S
     ]
     if len(failed_s) < MIN_FAILED_REPLICAS:
         return False
-    return max(map(answered_s, replica_ids)) < max(failed_s)
+    return max(map(last_answer_s, replica_ids)) < max(failed_s)
--- a/lycheetide/replicas/_table.py
+++ b/lycheetide/replicas/_table.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Entry:
+class RegistryEntry:
     """An entry that a replica writes into the registry.
 
     Parameters
@@ -63,12 +63,12 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class RegistryChange:
     """A record of the registry: a new entry, or None if the entry was removed."""
 
     id: str
     offset: int
-    entry: Entry | None
+    entry: RegistryEntry | None
 
 
 @dataclass(frozen=True)
@@ -77,23 +77,23 @@
 
     Parameters
     ----------
-    entry : Entry
+    entry : RegistryEntry
         Its latest entry.
     offset : int
         The offset of that entry in the registry.
     cold_until_s : float
         When its cold start ends.
-    seen_s : float
+    first_seen_s : float
         When this node first saw an entry of its current process.
     removed_from_s : float or None
         The time from which it counts as removed; may lie in the future after an outage
         of the registry.
     """
 
-    entry: Entry
+    entry: RegistryEntry
     offset: int
     cold_until_s: float
-    seen_s: float
+    first_seen_s: float
     removed_from_s: float | None = None
 
     def is_usable(self, *, now_s):
@@ -116,32 +116,32 @@
         self._latest_keys: dict[str, tuple[int, int]] = {}
         self._digest: int | None = None
 
-    def apply(self, changes: Iterable[Change], *, now_s, returned_s=None):
+    def apply(self, changes: Iterable[RegistryChange], *, now_s, outage_ended_s=None):
         """Apply records of the registry.
 
         Parameters
         ----------
-        changes : iterable of Change
+        changes : iterable of RegistryChange
             The records in the registry's order.
         now_s : float
             The present time.
-        returned_s : float or None
+        outage_ended_s : float or None
             When the registry last recovered from an outage.
 
         Returns
         -------
-        list of Change
+        list of RegistryChange
             Those that made a difference, such as a new, removed or draining replica.
         """
         applied = [
             change
             for change in changes
-            if self._apply_change(change, now_s=now_s, returned_s=returned_s)
+            if self._apply_change(change, now_s=now_s, outage_ended_s=outage_ended_s)
         ]
         self._drop_removed(now_s=now_s)
         return applied
 
-    def _apply_change(self, change, *, now_s, returned_s):
+    def _apply_change(self, change, *, now_s, outage_ended_s):
         """Apply one record; return whether it made a difference."""
         self._digest = None
         current = self.replicas.get(change.id)
@@ -149,17 +149,17 @@
             return False
         if change.entry is None:
             return self._apply_removal(
-                current, change, now_s=now_s, returned_s=returned_s
+                current, change, now_s=now_s, outage_ended_s=outage_ended_s
             )
         return self._apply_entry(current, change, now_s=now_s)
 
-    def _apply_removal(self, current, change, *, now_s, returned_s):
+    def _apply_removal(self, current, change, *, now_s, outage_ended_s):
         """Mark a replica as removed, after a grace period if the registry was out."""
         if current is None:
             return False
         removed_from_s = now_s
-        if returned_s is not None:
-            removed_from_s = max(now_s, returned_s + RECOVERY_GRACE_S)
+        if outage_ended_s is not None:
+            removed_from_s = max(now_s, outage_ended_s + RECOVERY_GRACE_S)
         if current.removed_from_s is not None:
             removed_from_s = min(removed_from_s, current.removed_from_s)
         self.replicas[change.id] = replace(
@@ -182,7 +182,7 @@
             entry=entry,
             offset=change.offset,
             cold_until_s=now_s + entry.cold_s if entry.cold_s > 0 else now_s,
-            seen_s=now_s if is_new else current.seen_s,
+            first_seen_s=now_s if is_new else current.first_seen_s,
         )
         if is_new or turned_cold or current.removed_from_s is not None:
             return True
@@ -193,7 +193,9 @@
         """Tell whether an entry repeats the stored one, as some replicas send it."""
         return current is not None and entry.order_key == current.entry.order_key
 
-    def list_all(self, changes: Iterable[Change], end, *, now_s, returned_s=None):
+    def apply_listing(
+        self, changes: Iterable[RegistryChange], end, *, now_s, outage_ended_s=None
+    ):
         """Apply a complete listing; replicas that it lacks are marked as removed.
 
         A listing may be older than the table, which shows in its ``end``. Then no
@@ -201,20 +203,20 @@
 
         Returns
         -------
-        list of Change
+        list of RegistryChange
             As for ``apply``.
         """
         listed = list(changes)
-        applied = self.apply(listed, now_s=now_s, returned_s=returned_s)
+        applied = self.apply(listed, now_s=now_s, outage_ended_s=outage_ended_s)
         if end < self.end:
             return applied
         listed_ids = {change.id for change in listed}
         removals = (
-            Change(name, max(end, replica.offset + 1), None)
+            RegistryChange(name, max(end, replica.offset + 1), None)
             for name, replica in list(self.replicas.items())
             if name not in listed_ids and replica.offset < end
         )
-        applied += self.apply(removals, now_s=now_s, returned_s=returned_s)
+        applied += self.apply(removals, now_s=now_s, outage_ended_s=outage_ended_s)
         self.end = end
         return applied
 
--- a/lycheetide/replicas/tests/test_domains.py
+++ b/lycheetide/replicas/tests/test_domains.py
@@ -1,6 +1,6 @@
 """Failure of a whole failure domain, and failures of single replicas."""
 
-from lycheetide.replicas import Entry, Replica, drop_dark_domains
+from lycheetide.replicas import RegistryEntry, Replica, exclude_failed_domains
 
 NEVER_S = float("-inf")
 
@@ -9,20 +9,22 @@
     """Return replicas named by their domain and position, such as ``a0``."""
     return [
         Replica(
-            Entry(f"{domain}{place}", "models", f"10.0.0.{place}:80", domain, 8),
+            RegistryEntry(
+                f"{domain}{place}", "models", f"10.0.0.{place}:80", domain, 8
+            ),
             offset=place,
             cold_until_s=0.0,
-            seen_s=0.0,
+            first_seen_s=0.0,
         )
         for place, domain in enumerate(domains)
     ]
 
 
-def list_remaining(troubled_s, answered_s, *, now_s=10.0, replicas=None):
-    remaining = drop_dark_domains(
+def list_remaining(last_failure_s, last_answer_s, *, now_s=10.0, replicas=None):
+    remaining = exclude_failed_domains(
         replicas or make_replicas(),
-        troubled_s=lambda name: troubled_s.get(name, NEVER_S),
-        answered_s=lambda name: answered_s.get(name, NEVER_S),
+        last_failure_s=lambda name: last_failure_s.get(name, NEVER_S),
+        last_answer_s=lambda name: last_answer_s.get(name, NEVER_S),
         now_s=now_s,
     )
     return {replica.entry.id for replica in remaining}
@@ -57,5 +59,5 @@
     If it excluded all replicas, it would refuse all requests, even after its link is
     restored.
     """
-    troubled_s = dict.fromkeys(("a0", "a1", "b3", "b4", "c6", "c7"), 9.9)
-    assert len(list_remaining(troubled_s, {})) == 9
+    last_failure_s = dict.fromkeys(("a0", "a1", "b3", "b4", "c6", "c7"), 9.9)
+    assert len(list_remaining(last_failure_s, {})) == 9
--- a/lycheetide/replicas/tests/test_table.py
+++ b/lycheetide/replicas/tests/test_table.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from lycheetide.replicas import Change, Entry, ReplicaTable
+from lycheetide.replicas import RegistryChange, RegistryEntry, ReplicaTable
 
 
 def make_entry(name="a", **fields):
-    return Entry(
+    return RegistryEntry(
         id=name,
         service="models",
         address="10.0.0.1:80",
@@ -17,11 +17,11 @@
 
 
 def put(table, offset, entry, now_s=0.0, **more):
-    return table.apply([Change(entry.id, offset, entry)], now_s=now_s, **more)
+    return table.apply([RegistryChange(entry.id, offset, entry)], now_s=now_s, **more)
 
 
 def remove(table, offset, name="a", now_s=0.0, **more):
-    return table.apply([Change(name, offset, None)], now_s=now_s, **more)
+    return table.apply([RegistryChange(name, offset, None)], now_s=now_s, **more)
 
 
 def names(table, now_s=0.0, closed=frozenset()):
@@ -65,7 +65,7 @@
 def test_removals_just_after_an_outage_wait_for_what_comes_back():
     table = ReplicaTable()
     put(table, 0, make_entry())
-    remove(table, 1, now_s=10.0, returned_s=9.5)
+    remove(table, 1, now_s=10.0, outage_ended_s=9.5)
     assert names(table, now_s=11.0) == {"a"}
     assert names(table, now_s=11.6) == set()
     put(table, 2, make_entry(sequence=2), now_s=11.7)
@@ -77,9 +77,9 @@
     table = ReplicaTable()
     table.end = 10
     put(table, 9, make_entry())
-    table.list_all([], 8, now_s=1.0)
+    table.apply_listing([], 8, now_s=1.0)
     assert names(table, now_s=1.0) == {"a"}
-    table.list_all([], 11, now_s=2.0)
+    table.apply_listing([], 11, now_s=2.0)
     assert names(table, now_s=2.0) == set()
 
 
--- a/standins/large.py
+++ b/standins/large.py
@@ -8,7 +8,7 @@
 from lycheetide.gossip import Heartbeat
 from lycheetide.placement import Size
 from lycheetide.relay._state import RelayState
-from lycheetide.replicas import Change, Entry
+from lycheetide.replicas import RegistryChange, RegistryEntry
 from lycheetide.routes import Engine
 from lycheetide.settings import RelaySettings
 
@@ -29,11 +29,15 @@
     relay = RelayState(settings, platform, "front-0.1.1")
     now_s = time.monotonic()
     entries = [
-        Entry(f"i-{n:010x}", SERVICE, f"10.1.0.{n}:80", f"zone-{n % DOMAIN_COUNT}", 5)
+        RegistryEntry(
+            f"i-{n:010x}", SERVICE, f"10.1.0.{n}:80", f"zone-{n % DOMAIN_COUNT}", 5
+        )
         for n in range(replicas)
     ]
-    changes = [Change(entry.id, place, entry) for place, entry in enumerate(entries, 1)]
-    relay.replicas.list_all(changes, replicas + 1, now_s=now_s)
+    changes = [
+        RegistryChange(entry.id, place, entry) for place, entry in enumerate(entries, 1)
+    ]
+    relay.replicas.apply_listing(changes, replicas + 1, now_s=now_s)
     for n in range(1, nodes):
         domain = f"zone-{n % DOMAIN_COUNT}"
         heartbeat = Heartbeat(
