--- a/lycheetide/placement/__init__.py
+++ b/lycheetide/placement/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from lycheetide.placement._choose import choose_plain, choose_prompt, rank_replicas
-from lycheetide.placement._cold import NEWS_S, may_send, share_cold_limits
+from lycheetide.placement._cold_limits import NEWS_S, may_send, share_cold_limits
 from lycheetide.placement._estimate import (
     CALLER_WAITS_S,
     caller_patience_s,
@@ -13,10 +13,10 @@
     pass_s,
     read_s,
 )
+from lycheetide.placement._memory import count_room, needs_sharing, share_memory
 from lycheetide.placement._pack import SHORT_READ_S, count_unknown
 from lycheetide.placement._retry_budget import RetryWindow
 from lycheetide.placement._spread import HELPERS_MOST, ON_TIME_SHARE, spread_prompt
-from lycheetide.placement._tickets import count_room, needs_sharing, share_memory
 from lycheetide.placement._types import (
     Arrivals,
     Candidate,
--- a/lycheetide/placement/_choose.py
+++ b/lycheetide/placement/_choose.py
@@ -10,9 +10,9 @@
 
 from lycheetide.placement._estimate import read_s
 from lycheetide.placement._pack import SHORT_READ_S, pack_prompt
-from lycheetide.placement._queue import has_memory
 from lycheetide.placement._spread import HELPERS_MOST, spread_prompt
 from lycheetide.placement._types import Arrivals, Candidate, Placement, Size
+from lycheetide.placement._waits import has_memory
 from lycheetide.routes import Engine
 
 
--- a/lycheetide/placement/_pack.py
+++ b/lycheetide/placement/_pack.py
@@ -8,8 +8,8 @@
 from bisect import bisect_right
 
 from lycheetide.placement._estimate import read_s
-from lycheetide.placement._queue import estimate_slot_wait_s, estimate_unsplit_s
 from lycheetide.placement._types import Placement
+from lycheetide.placement._waits import estimate_slot_wait_s, estimate_unsplit_s
 
 SHORT_READ_S = 0.06
 """Longest prefill time of a prompt that counts as short."""
--- a/lycheetide/placement/_spread.py
+++ b/lycheetide/placement/_spread.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 
 from lycheetide.placement._estimate import pass_s, read_s
+from lycheetide.placement._memory import needs_sharing, share_memory
 from lycheetide.placement._pack import RESERVED_SLOTS
-from lycheetide.placement._queue import estimate_slot_wait_s, has_memory, wait_s
-from lycheetide.placement._tickets import needs_sharing, share_memory
 from lycheetide.placement._types import Arrivals, Candidate, Placement, Size
+from lycheetide.placement._waits import estimate_slot_wait_s, has_memory, wait_s
 
 HELPERS_MOST = 16
 """Maximum number of helpers that a replica accepts in one request."""
