--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -19,7 +19,7 @@
     decode_message,
     encode_message,
 )
-from lycheetide.placement import Candidate, Size, choose_prompt
+from lycheetide.placement import Candidate, RequestSize, place_prompt
 from lycheetide.relay._selection import find_placement, list_candidates
 from lycheetide.replicas import RegistryChange, RegistryEntry, ReplicaTable
 from lycheetide.routes import ANY_ENGINE
@@ -82,10 +82,10 @@
     candidates = make_candidates(count)
 
     def short(_):
-        choose_prompt(ANY_ENGINE, Size(5_000, 1_000), candidates, target_s=0.3)
+        place_prompt(ANY_ENGINE, RequestSize(5_000, 1_000), candidates, target_s=0.3)
 
     def huge(_):
-        choose_prompt(ANY_ENGINE, Size(133_000, 500), candidates, target_s=2.5)
+        place_prompt(ANY_ENGINE, RequestSize(133_000, 500), candidates, target_s=2.5)
 
     return {
         "short_us": measure_cpu_us(short, 300),
--- a/lycheetide/model/_passes.py
+++ b/lycheetide/model/_passes.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lycheetide.placement import pass_s
+from lycheetide.placement import estimate_pass_s
 from lycheetide.routes import Engine
 
 CHUNK_TOKENS = 2_048
@@ -102,7 +102,7 @@
             read.remaining_s -= part_s
             prefill_s += part_s
         context = sum(writer.context_tokens for writer in self._decoding)
-        duration_s = pass_s(self.engine, len(self._decoding), context)
+        duration_s = estimate_pass_s(self.engine, len(self._decoding), context)
         self.pass_ends_s = now_s + duration_s + prefill_s
 
     def _admit(self):
--- a/lycheetide/model/_relay_policies.py
+++ b/lycheetide/model/_relay_policies.py
@@ -8,10 +8,10 @@
     Arrivals,
     Candidate,
     Placement,
-    Size,
-    choose_prompt,
-    count_unknown,
-    read_s,
+    RequestSize,
+    estimate_prefill_s,
+    estimate_unknown_requests,
+    place_prompt,
 )
 from lycheetide.routes import Engine
 
@@ -28,7 +28,7 @@
     ----------
     engine : Engine
         Performance figures of the replicas.
-    size : Size
+    size : RequestSize
         Size of the request.
     candidates : sequence of Candidate
         The replicas with their load as the nodes know it.
@@ -49,7 +49,7 @@
     """
 
     engine: Engine
-    size: Size
+    size: RequestSize
     candidates: Sequence[Candidate]
     target_s: float
     patience_s: float
@@ -65,14 +65,16 @@
 
 def place_lycheetide(asked):
     """Place or refuse a request as this project's relay does."""
-    placement = choose_prompt(
+    placement = place_prompt(
         asked.engine,
         asked.size,
         asked.candidates,
         target_s=asked.target_s,
         patience_s=asked.patience_s,
         arrivals=Arrivals(asked.starts_per_s, asked.shortest_target_s),
-        unknown=count_unknown(asked.starts_per_s, asked.gossip_delay_s, asked.nodes),
+        unknown=estimate_unknown_requests(
+            asked.starts_per_s, asked.gossip_delay_s, asked.nodes
+        ),
         draw=asked.rng.random(),
     )
     if placement is None or not placement.is_worthwhile(asked.patience_s):
@@ -89,7 +91,9 @@
         asked.candidates,
         key=lambda candidate: candidate.backlog_s + 0.01 * candidate.writers,
     )
-    return Placement(first, (), 0.0, read_s(asked.engine, asked.size.prompt_tokens))
+    return Placement(
+        first, (), 0.0, estimate_prefill_s(asked.engine, asked.size.prompt_tokens)
+    )
 
 
 def place_with_helpers(asked):
@@ -115,7 +119,7 @@
         0,
     )
     helpers = tuple(others[:count])
-    part_s = read_s(asked.engine, tokens) / (1 + len(helpers))
+    part_s = estimate_prefill_s(asked.engine, tokens) / (1 + len(helpers))
     return Placement(first, helpers, 0.0, part_s)
 
 
--- a/lycheetide/model/_relay_simulation.py
+++ b/lycheetide/model/_relay_simulation.py
@@ -16,14 +16,14 @@
 from lycheetide.model._passes import DecodeTask, PassEngine, PrefillTask
 from lycheetide.model._relay_policies import PlacementQuery
 from lycheetide.placement import (
-    SHORT_READ_S,
+    SHORT_PREFILL_S,
     Candidate,
-    GapGroup,
-    Size,
-    UnreadPrompt,
+    DecodingGroup,
+    PendingPrefill,
+    RequestSize,
     caller_patience_s,
+    estimate_prefill_s,
     rank_replicas,
-    read_s,
 )
 from lycheetide.routes import Engine
 
@@ -202,7 +202,7 @@
     def arrive(self, now_s, request, events):
         """Place a request and start its prefill on the chosen replicas."""
         engine = self.model.engine
-        size = Size(request.tokens, round(events * engine.steps_per_pass))
+        size = RequestSize(request.tokens, round(events * engine.steps_per_pass))
         placement = self.policy(
             PlacementQuery(
                 engine=engine,
@@ -227,7 +227,7 @@
             *(share.replica for share in placement.holders),
             *placement.helpers,
         )
-        part_s = read_s(engine, size.prompt_tokens) / len(readers)
+        part_s = estimate_prefill_s(engine, size.prompt_tokens) / len(readers)
         kv_tokens_by_replica[placement.first.id] = size.tokens - sum(
             kv_tokens_by_replica.values()
         )
@@ -255,7 +255,7 @@
 
         tasks = []
         for reader in readers:
-            admission_rank = 0 if part_s <= SHORT_READ_S else 1
+            admission_rank = 0 if part_s <= SHORT_PREFILL_S else 1
             is_helper_part = reader is not placement.first
             tasks.append(
                 (
@@ -323,11 +323,13 @@
                 rank=rank,
                 slots=self.model.engine.slots,
                 writers=workload.writers,
-                writing=tuple(GapGroup(*row) for row in workload.weights.items()),
+                decoding_groups=tuple(
+                    DecodingGroup(*row) for row in workload.weights.items()
+                ),
                 helping=workload.helping,
                 backlog_s=self.job_table.backlog_s(name, now_s=now_s),
-                unread=tuple(
-                    UnreadPrompt(prompt.due_s - prompt.read_by_s, prompt.weight)
+                pending_prefills=tuple(
+                    PendingPrefill(prompt.due_s - prompt.read_by_s, prompt.weight)
                     for prompt in self.job_table.unread(name, now_s=now_s)
                 ),
                 kv_tokens=workload.kv_tokens,
--- a/lycheetide/model/tests/test_relays.py
+++ b/lycheetide/model/tests/test_relays.py
@@ -18,7 +18,7 @@
     simulate_relays,
 )
 from lycheetide.model._passes import DecodeTask, PassEngine, PrefillTask
-from lycheetide.placement import choose_prompt
+from lycheetide.placement import place_prompt
 
 ENGINE = dataclasses.replace(DENSE_ENGINE, slots=6, steps_per_pass=48)
 FLEET = RelayModel(
@@ -45,7 +45,7 @@
 
 def place_without_spreading(asked):
     """Place as earlier versions did: all nodes fill the same replica first."""
-    return choose_prompt(
+    return place_prompt(
         asked.engine, asked.size, asked.candidates, target_s=asked.target_s
     )
 
@@ -127,7 +127,7 @@
 
 def place_without_refusing(asked):
     """Place as this project's relay does, but refuse nothing."""
-    return choose_prompt(
+    return place_prompt(
         asked.engine, asked.size, asked.candidates, target_s=asked.target_s,
         unknown=4.0, draw=asked.rng.random(),
     )  # fmt: skip
--- a/lycheetide/placement/__init__.py
+++ b/lycheetide/placement/__init__.py
@@ -4,54 +4,66 @@
 the replicas and the current time.
 """
 
-from lycheetide.placement._choose import choose_plain, choose_prompt, rank_replicas
-from lycheetide.placement._cold_limits import NEWS_S, may_send, share_cold_limits
+from lycheetide.placement._choose import (
+    place_plain_request,
+    place_prompt,
+    rank_replicas,
+)
+from lycheetide.placement._cold_limits import (
+    PROPAGATION_DELAY_S,
+    may_send,
+    share_cold_limits,
+)
 from lycheetide.placement._estimate import (
-    CALLER_WAITS_S,
+    MIN_CALLER_PATIENCE_S,
     caller_patience_s,
     estimate_first_event_s,
-    pass_s,
-    read_s,
+    estimate_pass_s,
+    estimate_prefill_s,
+)
+from lycheetide.placement._memory import (
+    count_reservable_tokens,
+    needs_shared_memory,
+    share_memory,
 )
-from lycheetide.placement._memory import count_room, needs_sharing, share_memory
-from lycheetide.placement._pack import SHORT_READ_S, count_unknown
+from lycheetide.placement._pack import SHORT_PREFILL_S, estimate_unknown_requests
 from lycheetide.placement._retry_budget import RetryWindow
-from lycheetide.placement._spread import HELPERS_MOST, ON_TIME_SHARE, spread_prompt
+from lycheetide.placement._spread import MAX_HELPERS, ON_TIME_SHARE, spread_prompt
 from lycheetide.placement._types import (
     Arrivals,
     Candidate,
-    GapGroup,
+    DecodingGroup,
     MemoryShare,
+    PendingPrefill,
     Placement,
-    Size,
-    UnreadPrompt,
+    RequestSize,
 )
 
 __all__ = [
-    "CALLER_WAITS_S",
-    "HELPERS_MOST",
-    "NEWS_S",
+    "MAX_HELPERS",
+    "MIN_CALLER_PATIENCE_S",
     "ON_TIME_SHARE",
-    "SHORT_READ_S",
+    "PROPAGATION_DELAY_S",
+    "SHORT_PREFILL_S",
     "Arrivals",
     "Candidate",
-    "GapGroup",
+    "DecodingGroup",
     "MemoryShare",
+    "PendingPrefill",
     "Placement",
+    "RequestSize",
     "RetryWindow",
-    "Size",
-    "UnreadPrompt",
     "caller_patience_s",
-    "choose_plain",
-    "choose_prompt",
-    "count_room",
-    "count_unknown",
+    "count_reservable_tokens",
     "estimate_first_event_s",
+    "estimate_pass_s",
+    "estimate_prefill_s",
+    "estimate_unknown_requests",
     "may_send",
-    "needs_sharing",
-    "pass_s",
+    "needs_shared_memory",
+    "place_plain_request",
+    "place_prompt",
     "rank_replicas",
-    "read_s",
     "share_cold_limits",
     "share_memory",
     "spread_prompt",
--- a/lycheetide/placement/_choose.py
+++ b/lycheetide/placement/_choose.py
@@ -8,10 +8,10 @@
 
 import xxhash
 
-from lycheetide.placement._estimate import read_s
-from lycheetide.placement._pack import SHORT_READ_S, pack_prompt
-from lycheetide.placement._spread import HELPERS_MOST, spread_prompt
-from lycheetide.placement._types import Arrivals, Candidate, Placement, Size
+from lycheetide.placement._estimate import estimate_prefill_s
+from lycheetide.placement._pack import SHORT_PREFILL_S, pack_prompt
+from lycheetide.placement._spread import MAX_HELPERS, spread_prompt
+from lycheetide.placement._types import Arrivals, Candidate, Placement, RequestSize
 from lycheetide.placement._waits import has_memory
 from lycheetide.routes import Engine
 
@@ -33,7 +33,7 @@
     return {name: place for place, name in enumerate(ordered)}
 
 
-def choose_plain(candidates: Sequence[Candidate]):
+def place_plain_request(candidates: Sequence[Candidate]):
     """Return the placement of a request without a prompt, or None if there is none.
 
     The replica with the largest fraction of free slots is chosen. Ties go to a replica
@@ -52,16 +52,16 @@
     return Placement(first, (), 0.0, 0.0)
 
 
-def choose_prompt(
+def place_prompt(
     engine: Engine,
-    size: Size,
+    size: RequestSize,
     candidates: Sequence[Candidate],
     *,
     target_s: float,
     left_s: float | None = None,
     patience_s: float = float("inf"),
     arrivals: Arrivals = Arrivals(),  # noqa: B008
-    helpers_most: int = HELPERS_MOST,
+    max_helpers: int = MAX_HELPERS,
     unknown: float = 0.0,
     draw: float = 0.0,
 ):
@@ -71,7 +71,7 @@
     ----------
     engine : Engine
         Performance model of the service's replicas.
-    size : Size
+    size : RequestSize
         Tokens of the request.
     candidates : sequence of Candidate
         Replicas that may be sent the request.
@@ -83,7 +83,7 @@
         Time after which the caller disconnects without a first event, in seconds.
     arrivals : Arrivals
         Arrival rate of the service's requests.
-    helpers_most : int
+    max_helpers : int
         Maximum number of other replicas that prefill a part.
     unknown : float, default=0.0
         Estimated number of requests in flight that the candidates' load doesn't
@@ -95,10 +95,10 @@
     -------
     Placement or None
     """
-    if read_s(engine, size.prompt_tokens) > SHORT_READ_S:
+    if estimate_prefill_s(engine, size.prompt_tokens) > SHORT_PREFILL_S:
         return spread_prompt(
             engine, size, candidates, target_s=target_s, left_s=left_s,
-            patience_s=patience_s, arrivals=arrivals, helpers_most=helpers_most,
+            patience_s=patience_s, arrivals=arrivals, max_helpers=max_helpers,
         )  # fmt: skip
     fitting = [
         candidate for candidate in candidates if has_memory(engine, size, candidate)
--- a/lycheetide/placement/_cold_limits.py
+++ b/lycheetide/placement/_cold_limits.py
@@ -20,7 +20,7 @@
 WARM_STARTS_PER_S = 4
 """Requests per second that one node may send to a warm replica of a service with a cold
 limit, as long as other replicas are available."""
-NEWS_S = 0.1
+PROPAGATION_DELAY_S = 0.1
 """Time in seconds after which a request that a node sent is assumed to be known to all
 other nodes."""
 
@@ -116,7 +116,8 @@
         evenly over the nodes, so a busy node may then use what other nodes leave of a
         warm replica's limit.
     own_recent : int, default=0
-        Requests of this node that were sent within the last ``NEWS_S`` seconds.
+        Requests of this node that were sent within the last ``PROPAGATION_DELAY_S``
+        seconds.
     nodes : int, default=1
         Number of nodes that may be sending, including this node.
     """
--- a/lycheetide/placement/_estimate.py
+++ b/lycheetide/placement/_estimate.py
@@ -11,7 +11,7 @@
 token of a new request."""
 
 
-def read_s(engine, tokens):
+def estimate_prefill_s(engine, tokens):
     """Return the time to prefill a prompt while nothing else is processed.
 
     Parameters
@@ -30,7 +30,7 @@
     return tokens * engine.read_s_per_token + pairs * engine.read_s_per_pair
 
 
-def pass_s(engine, writers, context_tokens=0):
+def estimate_pass_s(engine, writers, context_tokens=0):
     """Return the length of a pass without prefill, in seconds.
 
     Parameters
@@ -61,12 +61,12 @@
     for the prefill of the prompts that were sent before it. Its own pass then prefills
     the prompt and generates the first event.
     """
-    remaining_pass_s = pass_s(engine, writers, context_tokens) / 2
-    own_pass_s = pass_s(engine, writers + 1, context_tokens)
+    remaining_pass_s = estimate_pass_s(engine, writers, context_tokens) / 2
+    own_pass_s = estimate_pass_s(engine, writers + 1, context_tokens)
     return remaining_pass_s + backlog_s + own_prefill_s + own_pass_s
 
 
-CALLER_WAITS_S = 2.0
+MIN_CALLER_PATIENCE_S = 2.0
 PATIENCE_PER_TARGET = 4.0
 PATIENCE_PER_GAP = 8.0
 """Callers abandon a stream after the longest of 2 s, 4 times the target time to the
@@ -83,4 +83,6 @@
     gap_s : float
         Target gap between two events, in seconds.
     """
-    return max(CALLER_WAITS_S, PATIENCE_PER_TARGET * target_s, PATIENCE_PER_GAP * gap_s)
+    return max(
+        MIN_CALLER_PATIENCE_S, PATIENCE_PER_TARGET * target_s, PATIENCE_PER_GAP * gap_s
+    )
--- a/lycheetide/placement/_memory.py
+++ b/lycheetide/placement/_memory.py
@@ -12,12 +12,12 @@
 is smaller, since this replica also generates the answer."""
 
 
-def needs_sharing(engine, tokens):
+def needs_shared_memory(engine, tokens):
     """Return whether a request needs more memory than one replica may give it."""
     return tokens > MAX_MEMORY_SHARE * engine.kv_tokens
 
 
-def count_room(engine, candidates: Sequence[Candidate]):
+def count_reservable_tokens(engine, candidates: Sequence[Candidate]):
     """Return how many prompt tokens the replicas together can reserve memory for."""
     return sum(
         max(0, int(MAX_MEMORY_SHARE * (engine.kv_tokens - candidate.kv_tokens)))
--- a/lycheetide/placement/_pack.py
+++ b/lycheetide/placement/_pack.py
@@ -7,11 +7,11 @@
 
 from bisect import bisect_right
 
-from lycheetide.placement._estimate import read_s
+from lycheetide.placement._estimate import estimate_prefill_s
 from lycheetide.placement._types import Placement
 from lycheetide.placement._waits import estimate_slot_wait_s, estimate_unsplit_s
 
-SHORT_READ_S = 0.06
+SHORT_PREFILL_S = 0.06
 """Longest prefill time of a prompt that counts as short."""
 MAX_PACKED_REQUESTS = 8
 """Number of requests that are packed onto one replica before the next one is used."""
@@ -29,7 +29,7 @@
 include yet, for example when all callers reconnect at once."""
 
 
-def count_unknown(starts_per_s, propagation_delay_s, nodes):
+def estimate_unknown_requests(starts_per_s, propagation_delay_s, nodes):
     """Return the estimated number of requests in flight that a node doesn't know of.
 
     Parameters
@@ -47,8 +47,10 @@
 
     Examples
     --------
-    >>> count_unknown(60.0, 0.003, 9), count_unknown(160.0, 0.1, 195)
-    (0.36, 19.9)
+    >>> estimate_unknown_requests(60.0, 0.003, 9)
+    0.36
+    >>> estimate_unknown_requests(160.0, 0.1, 195)
+    19.9
     """
     return starts_per_s * propagation_delay_s + BURST_NODE_SHARE * nodes
 
@@ -65,7 +67,7 @@
     ----------
     engine : Engine
         Performance model of the service's replicas.
-    size : Size
+    size : RequestSize
         Tokens of the request.
     candidates : sequence of Candidate
         Replicas that have memory for the request.
@@ -93,8 +95,8 @@
         first,
         (),
         expected_s=estimate_unsplit_s(engine, first, size),
-        part_read_s=read_s(engine, size.prompt_tokens),
-        waits_s=first.backlog_s + estimate_slot_wait_s(engine, first, size),
+        part_prefill_s=estimate_prefill_s(engine, size.prompt_tokens),
+        prefill_wait_s=first.backlog_s + estimate_slot_wait_s(engine, first, size),
     )
 
 
--- a/lycheetide/placement/_retry_budget.py
+++ b/lycheetide/placement/_retry_budget.py
@@ -30,12 +30,12 @@
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def note_request(self, *, now_s):
+    def record_request(self, *, now_s):
         """Record a request."""
         self._requests.append(now_s)
         self._drop_expired(now_s)
 
-    def has_left(self, nodes, *, now_s):
+    def has_retry_left(self, nodes, *, now_s):
         """Return whether the budget allows another retry.
 
         Parameters
@@ -64,7 +64,7 @@
         bool
             Whether the retry is allowed.
         """
-        if not self.has_left(nodes, now_s=now_s):
+        if not self.has_retry_left(nodes, now_s=now_s):
             return False
         self._retries.append(now_s)
         return True
--- a/lycheetide/placement/_spread.py
+++ b/lycheetide/placement/_spread.py
@@ -13,13 +13,13 @@
 
 from dataclasses import dataclass
 
-from lycheetide.placement._estimate import pass_s, read_s
-from lycheetide.placement._memory import needs_sharing, share_memory
+from lycheetide.placement._estimate import estimate_pass_s, estimate_prefill_s
+from lycheetide.placement._memory import needs_shared_memory, share_memory
 from lycheetide.placement._pack import RESERVED_SLOTS
-from lycheetide.placement._types import Arrivals, Candidate, Placement, Size
+from lycheetide.placement._types import Arrivals, Candidate, Placement, RequestSize
 from lycheetide.placement._waits import estimate_slot_wait_s, has_memory, wait_s
 
-HELPERS_MOST = 16
+MAX_HELPERS = 16
 """Maximum number of helpers that a replica accepts in one request."""
 READER_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 13, 17)
 """Numbers of readers whose cost is computed. The cost changes little between them."""
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    size : Size
+    size : RequestSize
         Tokens of the request.
     prefill_s : float
         Prefill time of the whole prompt at one replica, in seconds.
@@ -58,7 +58,7 @@
         Time after which the caller disconnects without a first event, in seconds.
     """
 
-    size: Size
+    size: RequestSize
     prefill_s: float
     target_s: float
     left_s: float
@@ -141,7 +141,7 @@
     left_s=None,
     patience_s=float("inf"),
     arrivals=Arrivals(),  # noqa: B008
-    helpers_most=HELPERS_MOST,
+    max_helpers=MAX_HELPERS,
 ):
     """Return the placement of a long prompt, or None if there isn't enough memory.
 
@@ -149,7 +149,7 @@
     ----------
     engine : Engine
         Performance model of the service's replicas.
-    size : Size
+    size : RequestSize
         Tokens of the request.
     candidates : sequence of Candidate
         Replicas that may take part.
@@ -161,7 +161,7 @@
         Time after which the caller disconnects without a first event, in seconds.
     arrivals : Arrivals
         Arrival rate of the service's requests.
-    helpers_most : int
+    max_helpers : int
         Maximum number of replicas that take part besides the first. It is ignored if
         the prompt needs the memory of several replicas.
 
@@ -173,16 +173,16 @@
         return None
     prompt = LongPrompt(
         size,
-        read_s(engine, size.prompt_tokens),
+        estimate_prefill_s(engine, size.prompt_tokens),
         target_s,
         target_s if left_s is None else left_s,
         patience_s,
     )
-    if needs_sharing(engine, size.tokens):
+    if needs_shared_memory(engine, size.tokens):
         # A prompt this large needs the memory of several replicas, so helpers are
         # allowed even if a replica refused the request with helpers before.
-        helpers_most = HELPERS_MOST
-    max_readers = min(helpers_most + 1, len(candidates))
+        max_helpers = MAX_HELPERS
+    max_readers = min(max_helpers + 1, len(candidates))
     counts = [count for count in READER_COUNTS if count < max_readers] + [max_readers]
     replicas = [_assess_replica(engine, candidate) for candidate in candidates]
     plans = (_price_plan(engine, prompt, replicas, arrivals, count) for count in counts)
@@ -195,7 +195,7 @@
 
 def _assess_replica(engine, candidate):
     """Return a replica with its wait and pause before a part is assigned to it."""
-    pause_s = pass_s(engine, candidate.writers, candidate.kv_tokens)
+    pause_s = estimate_pass_s(engine, candidate.writers, candidate.kv_tokens)
     pause_s += candidate.backlog_s
     return _OpenReplica(
         candidate,
@@ -221,7 +221,9 @@
         first.open.wait_s,
         *(reader.open.wait_s for reader in others),
     )
-    own_pass_s = pass_s(engine, first.candidate.writers + 1, prompt.size.tokens)
+    own_pass_s = estimate_pass_s(
+        engine, first.candidate.writers + 1, prompt.size.tokens
+    )
     expected_s = prefill_start_s + part_s + own_pass_s
     harm = LATENESS_LOSS * (
         first.harm
@@ -257,10 +259,10 @@
     for replica in replicas:
         candidate = replica.candidate
         harm = 0.0
-        if candidate.writing:
+        if candidate.decoding_groups:
             required_gap_s = (replica.pause_s + part_s) / USABLE_GAP_SHARE
             harm = candidate.disturbed_weight(required_gap_s) - replica.harmed_weight
-        if candidate.unread:
+        if candidate.pending_prefills:
             harm += candidate.overtaken_weight(part_s)
         own_cost = own_costs.get(replica.wait_s)
         if own_cost is None:
@@ -278,14 +280,14 @@
     ----------
     engine : Engine
         Performance model of the service's replicas.
-    size : Size
+    size : RequestSize
         Tokens of the request.
     readers : list of _Reader
         Replicas with their costs, the cheapest first.
     count : int
         Number of readers to choose.
     """
-    if needs_sharing(engine, size.tokens):
+    if needs_shared_memory(engine, size.tokens):
         chosen = _choose_holders(engine, size, readers, count)
         if chosen is not None:
             return chosen
--- a/lycheetide/placement/_types.py
+++ b/lycheetide/placement/_types.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Size:
+class RequestSize:
     """Tokens that a request needs; both are 0 for a request without a prompt."""
 
     prompt_tokens: int = 0
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class GapGroup:
+class DecodingGroup:
     """Decoding requests of one replica that tolerate the same gap between events.
 
     Parameters
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class UnreadPrompt:
+class PendingPrefill:
     """A prompt, or a part of one, whose prefill at a replica isn't done.
 
     Parameters
@@ -100,11 +100,11 @@
         Number of unfinished requests whose answers the replica generates.
     helping : int
         Number of unfinished prompts of other replicas that it prefills a part of.
-    writing : tuple of GapGroup
+    decoding_groups : tuple of DecodingGroup
         The decoding requests, grouped by the gap that they tolerate.
     backlog_s : float
         Prefill time of the prompts that were sent there and aren't done, in seconds.
-    unread : tuple of UnreadPrompt
+    pending_prefills : tuple of PendingPrefill
         Prompts whose prefill isn't done.
     kv_tokens : int
         KV cache memory in use, in tokens.
@@ -122,9 +122,9 @@
     slots: int
     writers: int = 0
     helping: int = 0
-    writing: tuple[GapGroup, ...] = ()
+    decoding_groups: tuple[DecodingGroup, ...] = ()
     backlog_s: float = 0.0
-    unread: tuple[UnreadPrompt, ...] = ()
+    pending_prefills: tuple[PendingPrefill, ...] = ()
     kv_tokens: int = 0
     is_near: bool = True
     is_recovering: bool = False
@@ -147,7 +147,9 @@
 
     def disturbed_weight(self, pause_s):
         """Return the weight of the decoding requests that a pause is too long for."""
-        return sum(group.weight for group in self.writing if group.gap_s < pause_s)
+        return sum(
+            group.weight for group in self.decoding_groups if group.gap_s < pause_s
+        )
 
     def overtaken_weight(self, part_s):
         """Return the weight of the waiting prompts that a new part makes late.
@@ -156,7 +158,9 @@
         wait there. A waiting prompt whose other parts are done at other replicas is
         then delayed by this replica alone.
         """
-        return sum(one.weight for one in self.unread if 0.0 < one.slack_s < part_s)
+        return sum(
+            one.weight for one in self.pending_prefills if 0.0 < one.slack_s < part_s
+        )
 
 
 @dataclass(frozen=True)
@@ -179,11 +183,11 @@
         Replicas that prefill one part of the prompt each.
     expected_s : float
         Estimated time until the first event, in seconds.
-    part_read_s : float
+    part_prefill_s : float
         Prefill time of each part, in seconds.
     holders : tuple of MemoryShare
         Replicas that prefill one part each and also hold a share of its KV cache.
-    waits_s : float
+    prefill_wait_s : float
         Estimated time until the prefill begins, in seconds.
     harm : float
         Weight of the other requests that the prefill makes late.
@@ -194,9 +198,9 @@
     first: Candidate
     helpers: tuple[Candidate, ...]
     expected_s: float
-    part_read_s: float
+    part_prefill_s: float
     holders: tuple[MemoryShare, ...] = ()
-    waits_s: float = 0.0
+    prefill_wait_s: float = 0.0
     harm: float = 0.0
     worth: float = 1.0
 
@@ -208,7 +212,7 @@
         patience_s : float
             Time for which the caller waits for the first event, in seconds.
         """
-        return self.waits_s > MAX_WAIT_PATIENCE_SHARE * patience_s
+        return self.prefill_wait_s > MAX_WAIT_PATIENCE_SHARE * patience_s
 
     def is_worthwhile(self, patience_s):
         """Return whether the placement gains its caller more than it costs others.
--- a/lycheetide/placement/_waits.py
+++ b/lycheetide/placement/_waits.py
@@ -1,6 +1,10 @@
 """Estimate how long a prompt waits at a replica before its prefill begins."""
 
-from lycheetide.placement._estimate import estimate_first_event_s, pass_s, read_s
+from lycheetide.placement._estimate import (
+    estimate_first_event_s,
+    estimate_pass_s,
+    estimate_prefill_s,
+)
 
 FULL_PASS_PREFILL_S = 0.02
 """Prefill time within one pass of a full replica: about one short prompt."""
@@ -13,7 +17,9 @@
 
 def wait_s(engine, candidate):
     """Return the expected time until the prefill of a prompt sent now, in seconds."""
-    remaining_pass_s = pass_s(engine, candidate.writers, candidate.kv_tokens) / 2
+    remaining_pass_s = (
+        estimate_pass_s(engine, candidate.writers, candidate.kv_tokens) / 2
+    )
     return remaining_pass_s + candidate.backlog_s + candidate.penalty_s
 
 
@@ -26,7 +32,10 @@
     if queued == 0:
         return 0.0
     passes = size.answer_tokens / engine.steps_per_pass
-    full_s = pass_s(engine, candidate.slots, candidate.kv_tokens) + FULL_PASS_PREFILL_S
+    full_s = (
+        estimate_pass_s(engine, candidate.slots, candidate.kv_tokens)
+        + FULL_PASS_PREFILL_S
+    )
     return queued * passes * full_s / candidate.slots
 
 
@@ -38,7 +47,7 @@
     return (
         estimate_first_event_s(
             engine,
-            own_prefill_s=read_s(engine, size.prompt_tokens),
+            own_prefill_s=estimate_prefill_s(engine, size.prompt_tokens),
             backlog_s=candidate.backlog_s,
             writers=min(candidate.writers, candidate.slots),
             context_tokens=candidate.kv_tokens,
--- a/lycheetide/placement/tests/test_choose.py
+++ b/lycheetide/placement/tests/test_choose.py
@@ -13,14 +13,14 @@
 from lycheetide.placement import (
     Arrivals,
     Candidate,
-    GapGroup,
-    Size,
-    UnreadPrompt,
-    choose_plain,
-    choose_prompt,
-    count_unknown,
-    pass_s,
-    read_s,
+    DecodingGroup,
+    PendingPrefill,
+    RequestSize,
+    estimate_pass_s,
+    estimate_prefill_s,
+    estimate_unknown_requests,
+    place_plain_request,
+    place_prompt,
     share_memory,
     spread_prompt,
 )
@@ -36,12 +36,12 @@
     read_s_per_token=1 / 206_000,
     read_s_per_pair=0.138e-9,
 )
-SHORT = Size(5_000, 1_400)
-LONG = Size(133_000, 700)
+SHORT = RequestSize(5_000, 1_400)
+LONG = RequestSize(133_000, 700)
 MAX_GAP_S = 0.25
 """Longest gap between the events of a short answer that its caller tolerates."""
-ONE_SHORT_REQUEST = (GapGroup(MAX_GAP_S, SHORT.weight),)
-SIX_SHORT_REQUESTS = (GapGroup(MAX_GAP_S, 6 * SHORT.weight),)
+ONE_SHORT_REQUEST = (DecodingGroup(MAX_GAP_S, SHORT.weight),)
+SIX_SHORT_REQUESTS = (DecodingGroup(MAX_GAP_S, 6 * SHORT.weight),)
 
 
 def make_replicas(count=16, **overrides):
@@ -56,7 +56,7 @@
 
 
 def choose(size, replicas, target_s=2.5):
-    return choose_prompt(ENGINE, size, replicas, target_s=target_s)
+    return place_prompt(ENGINE, size, replicas, target_s=target_s)
 
 
 def test_short_prompts_are_packed_onto_few_replicas():
@@ -82,14 +82,15 @@
     """
     rng = random.Random(1)
     busy = {
-        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(16)
+        f"w{rank}": {"writers": 6, "decoding_groups": SIX_SHORT_REQUESTS}
+        for rank in range(16)
     }
     replicas = make_replicas(32, **busy)
-    unknown = count_unknown(90.0, 0.045, 9)
+    unknown = estimate_unknown_requests(90.0, 0.045, 9)
     overloaded = 0
     for _ in range(200):
         taken = [
-            choose_prompt(
+            place_prompt(
                 ENGINE,
                 SHORT,
                 replicas,
@@ -116,7 +117,7 @@
     replicas = make_replicas(32)
     used = set()
     for _ in range(24):
-        first = choose_prompt(
+        first = place_prompt(
             ENGINE, SHORT, replicas, target_s=0.3, unknown=4.0, draw=rng.random()
         ).first
         used.add(first.id)
@@ -145,7 +146,7 @@
 
     One replica is available, and it prefills 230,000 tokens in 4.8 s.
     """
-    placement = choose(Size(230_000, 100), make_replicas(1))
+    placement = choose(RequestSize(230_000, 100), make_replicas(1))
     assert placement.expected_s > 4.0
     assert not placement.waits_too_long(4.0)
 
@@ -163,11 +164,12 @@
     target of 2.5 s, and the gaps of every short answer would lengthen.
     """
     busy = {
-        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(8)
+        f"w{rank}": {"writers": 6, "decoding_groups": SIX_SHORT_REQUESTS}
+        for rank in range(8)
     }
     placement = choose(LONG, make_replicas(**busy))
     parts = (placement.first, *placement.helpers)
-    assert all(not part.writing for part in parts)
+    assert all(not part.decoding_groups for part in parts)
     assert len(parts) == 8
 
 
@@ -178,9 +180,15 @@
     2.5 s. With one more replica the first event comes early enough. All sixteen would
     needlessly lengthen the gaps of ninety short answers, whose callers tolerate little.
     """
-    low_tolerance = (GapGroup(0.12, 6 * SHORT.weight),)
-    busy = {f"w{rank}": {"writers": 6, "writing": low_tolerance} for rank in range(14)}
-    busy["w14"] = {"writers": 1, "writing": (GapGroup(0.12, SHORT.weight),)}
+    low_tolerance = (DecodingGroup(0.12, 6 * SHORT.weight),)
+    busy = {
+        f"w{rank}": {"writers": 6, "decoding_groups": low_tolerance}
+        for rank in range(14)
+    }
+    busy["w14"] = {
+        "writers": 1,
+        "decoding_groups": (DecodingGroup(0.12, SHORT.weight),),
+    }
     placement = choose(LONG, make_replicas(**busy))
     assert placement.first.rank == 15
     assert [one.rank for one in placement.helpers] == [14]
@@ -193,17 +201,18 @@
     A part takes 150 ms, and the callers tolerate gaps of 250 ms.
     """
     busy = {
-        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(15)
+        f"w{rank}": {"writers": 6, "decoding_groups": SIX_SHORT_REQUESTS}
+        for rank in range(15)
     }
     placement = choose(LONG, make_replicas(**busy))
     assert placement.harm == 0.0
-    assert pass_s(ENGINE, 6) + placement.part_read_s < MAX_GAP_S
+    assert estimate_pass_s(ENGINE, 6) + placement.part_prefill_s < MAX_GAP_S
     assert placement.expected_s < 0.2 * 2.5
 
 
 def test_a_huge_prompt_is_read_everywhere_when_it_would_be_late_otherwise():
     """The target is 0.5 s, one replica needs 4.8 s, and all replicas are idle."""
-    placement = choose(Size(230_000, 100), make_replicas(), target_s=0.5)
+    placement = choose(RequestSize(230_000, 100), make_replicas(), target_s=0.5)
     assert len(placement.helpers) + len(placement.holders) >= 12
     assert placement.expected_s < 0.5
 
@@ -217,9 +226,10 @@
     prefill it, and it is late.
     """
     busy = {
-        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(16)
+        f"w{rank}": {"writers": 6, "decoding_groups": SIX_SHORT_REQUESTS}
+        for rank in range(16)
     }
-    size = Size(230_000, 100)
+    size = RequestSize(230_000, 100)
     placement = choose(size, make_replicas(**busy), target_s=0.5)
     assert 1 + len(placement.helpers) + len(placement.holders) <= 3
     assert placement.harm < 3 * 6 * SHORT.weight
@@ -232,13 +242,13 @@
     answers. Wherever it is placed, it makes requests late that weigh more than itself.
     The caller of the function can then wait until answers have ended, or refuse it.
     """
-    full = {"writers": 7, "writing": (GapGroup(0.2, 7 * SHORT.weight),)}
+    full = {"writers": 7, "decoding_groups": (DecodingGroup(0.2, 7 * SHORT.weight),)}
     replicas = make_replicas(9, **{f"w{rank}": full for rank in range(9)})
-    size = Size(580_000, 700)
+    size = RequestSize(580_000, 700)
     arrivals = Arrivals(per_s=39.0, target_s=0.3)
-    placement = choose_prompt(ENGINE, size, replicas, target_s=3.0, arrivals=arrivals)
+    placement = place_prompt(ENGINE, size, replicas, target_s=3.0, arrivals=arrivals)
     assert placement.harm > size.weight
-    placement = choose_prompt(ENGINE, size, make_replicas(9), target_s=3.0)
+    placement = place_prompt(ENGINE, size, make_replicas(9), target_s=3.0)
     assert placement.harm == 0.0
 
 
@@ -249,9 +259,9 @@
     second. If all sixteen replicas prefilled the long prompt, the short ones would all
     wait for it.
     """
-    size = Size(580_000, 700)
+    size = RequestSize(580_000, 700)
     arrivals = Arrivals(per_s=10.0, target_s=0.3)
-    placement = choose_prompt(
+    placement = place_prompt(
         ENGINE, size, make_replicas(), target_s=6.0, arrivals=arrivals
     )
     readers = 1 + len(placement.helpers) + len(placement.holders)
@@ -266,7 +276,7 @@
     there. A prompt whose other parts were done long ago was delayed by each later part,
     and its first event came after seven seconds instead of two.
     """
-    waiting = {"backlog_s": 0.02, "unread": (UnreadPrompt(0.1, 40.0),)}
+    waiting = {"backlog_s": 0.02, "pending_prefills": (PendingPrefill(0.1, 40.0),)}
     replicas = make_replicas(8, w0=waiting, w1=waiting)
     placement = choose(LONG, replicas)
     readers = {placement.first.rank, *(one.rank for one in placement.helpers)}
@@ -277,21 +287,22 @@
 def test_parts_of_a_prompt_do_not_stretch_a_pause_too_far():
     """With all replicas busy, a part of a long prompt must fit the tolerated gap."""
     busy = {
-        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(16)
+        f"w{rank}": {"writers": 6, "decoding_groups": SIX_SHORT_REQUESTS}
+        for rank in range(16)
     }
     placement = choose(LONG, make_replicas(**busy), target_s=0.3)
-    assert pass_s(ENGINE, 6, 40_000) + placement.part_read_s < MAX_GAP_S
+    assert estimate_pass_s(ENGINE, 6, 40_000) + placement.part_prefill_s < MAX_GAP_S
 
 
 def test_reading_grows_with_the_square_of_the_length():
-    assert read_s(ENGINE, 133_000) == pytest.approx(0.646 + 1.220, abs=0.01)
-    assert read_s(ENGINE, 5_000) < 0.03
+    assert estimate_prefill_s(ENGINE, 133_000) == pytest.approx(0.646 + 1.220, abs=0.01)
+    assert estimate_prefill_s(ENGINE, 5_000) < 0.03
 
 
 @pytest.mark.parametrize("tokens", [1_000, 50_000, 600_000])
 def test_no_prompt_finds_a_place_where_no_replica_takes_work(tokens):
     """There are no candidates if all replicas are at their cold limits or have left."""
-    assert choose_prompt(ENGINE, Size(tokens, 300), [], target_s=2.0) is None
+    assert place_prompt(ENGINE, RequestSize(tokens, 300), [], target_s=2.0) is None
 
 
 def test_no_prompt_goes_where_its_memory_is_missing():
@@ -304,9 +315,10 @@
 
 def test_a_prompt_above_one_memory_is_shared_and_read_apart_from_short_ones():
     """A prompt of 600,000 tokens is shared by replicas with memory for 232,000 each."""
-    size = Size(600_000, 700)
+    size = RequestSize(600_000, 700)
     busy = {
-        f"w{rank}": {"writers": 6, "writing": SIX_SHORT_REQUESTS} for rank in range(4)
+        f"w{rank}": {"writers": 6, "decoding_groups": SIX_SHORT_REQUESTS}
+        for rank in range(4)
     }
     replicas = make_replicas(**busy)
     placement = spread_prompt(ENGINE, size, replicas, target_s=9.0)
@@ -318,7 +330,7 @@
     )
     assert sum(share.tokens for share in shares) >= size.tokens - 0.5 * 232_000
     assert max(share.tokens for share in shares) <= 0.6 * 232_000
-    assert all(not one.writing for one in participants)
+    assert all(not one.decoding_groups for one in participants)
     assert len({one.id for one in participants}) == len(participants)
 
 
@@ -337,8 +349,8 @@
 
 def test_a_plain_request_goes_to_the_freest_and_nearest():
     replicas = make_replicas(3, w0={"writers": 2}, w1={"is_near": False})
-    assert choose_plain(replicas).first.rank == 2
-    assert choose_plain([]) is None
+    assert place_plain_request(replicas).first.rank == 2
+    assert place_plain_request([]) is None
 
 
 def test_a_short_request_goes_to_one_that_failed_lately_only_if_others_are_full():
@@ -349,7 +361,7 @@
     """
     failing = {"is_recovering": True}
     replicas = make_replicas(5, w0=failing, w1=failing, w2=failing, w3={"writers": 4})
-    assert choose_plain(replicas).first.rank == 4
+    assert place_plain_request(replicas).first.rank == 4
     replicas = make_replicas(5, w0=failing, w1={"writers": 8}, w2={"writers": 9},
                              w3={"writers": 8}, w4={"writers": 8})  # fmt: skip
-    assert choose_plain(replicas).first.rank == 0
+    assert place_plain_request(replicas).first.rank == 0
--- a/lycheetide/placement/tests/test_herd.py
+++ b/lycheetide/placement/tests/test_herd.py
@@ -17,13 +17,13 @@
 from lycheetide.model import DENSE_ENGINE
 from lycheetide.placement import (
     Candidate,
-    Size,
-    choose_prompt,
-    count_unknown,
+    RequestSize,
+    estimate_unknown_requests,
+    place_prompt,
     rank_replicas,
 )
 
-SIZE = Size(5_000, 1_500)
+SIZE = RequestSize(5_000, 1_500)
 SIMULATED_S = 5.0
 
 
@@ -111,8 +111,12 @@
             Candidate(name, name, rank, fleet.slots, writers=known[name])
             for name, rank in ranks.items()
         ]
-        unknown = 0.0 if oracle else count_unknown(starts_per_s, told_s, fleet.nodes)
-        replica = choose_prompt(
+        unknown = (
+            0.0
+            if oracle
+            else estimate_unknown_requests(starts_per_s, told_s, fleet.nodes)
+        )
+        replica = place_prompt(
             DENSE_ENGINE, SIZE, candidates, target_s=0.4, unknown=unknown,
             draw=rng.random(),
         ).first.id  # fmt: skip
--- a/lycheetide/placement/tests/test_limits.py
+++ b/lycheetide/placement/tests/test_limits.py
@@ -100,7 +100,7 @@
     for step in range(1_000):
         now_s = step / 100
         window = windows[step % nodes]
-        window.note_request(now_s=now_s)
+        window.record_request(now_s=now_s)
         requests += 1
         retries += window.spend(nodes, now_s=now_s)
     assert 0 < retries <= 0.2 * requests + 100
--- a/lycheetide/placement/tests/test_news.py
+++ b/lycheetide/placement/tests/test_news.py
@@ -8,7 +8,7 @@
 
 from lycheetide.gossip import START_WINDOW_S, JobTable, Started, make_job
 from lycheetide.gossip._messages import JobPart
-from lycheetide.placement import NEWS_S, may_send, share_cold_limits
+from lycheetide.placement import PROPAGATION_DELAY_S, may_send, share_cold_limits
 
 REPLICA = "r"
 SIMULATED_S = 3.0
@@ -44,7 +44,9 @@
             self.limit_per_s,
             allowance=self.allowance,
             own_starts=len(self.starts_s),
-            own_recent=sum(now_s - at_s < NEWS_S for at_s in self.starts_s),
+            own_recent=sum(
+                now_s - at_s < PROPAGATION_DELAY_S for at_s in self.starts_s
+            ),
             all_starts=self.job_table.starts_within(
                 REPLICA, START_WINDOW_S, now_s=now_s
             ),
@@ -113,7 +115,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@pytest.mark.parametrize("delay_s", [0.003, 0.03, NEWS_S])
+@pytest.mark.parametrize("delay_s", [0.003, 0.03, PROPAGATION_DELAY_S])
 @pytest.mark.parametrize(("count", "limit"), [(2, 20.0), (3, 20.0), (9, 36.0)])
 def test_nodes_that_hear_late_of_one_another_keep_a_limit(count, limit, delay_s, seed):
     """Nodes that see the same rest of a limit at once would each use all of it."""
@@ -127,7 +129,7 @@
 
     A cold replica fails if it gets more than 1.5 times its limit plus five requests.
     """
-    sent_s = simulate(60, 36.0, seed=seed, delay_s=NEWS_S, rate_per_s=10.0)
+    sent_s = simulate(60, 36.0, seed=seed, delay_s=PROPAGATION_DELAY_S, rate_per_s=10.0)
     assert 0 < count_peak(sent_s) <= 36.0 * 1.5 + 5
 
 
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -34,7 +34,7 @@
 
 def make_parts(call, placement):
     """Return the cost of a request at each replica that takes part in it."""
-    read_s = placement.part_read_s
+    read_s = placement.part_prefill_s
     held_tokens = sum(share.tokens for share in placement.holders)
     parts = [JobPart(placement.first.id, read_s, call.size.tokens - held_tokens, True)]
     parts += [
--- a/lycheetide/relay/_call.py
+++ b/lycheetide/relay/_call.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from lycheetide.exchange import CallerRequest
-from lycheetide.placement import Size
+from lycheetide.placement import RequestSize
 from lycheetide.routes import Customer, Route, Service
 
 ADMISSION_PRIORITY_TOKENS = (10_000, 30_000, 60_000, 120_000)
@@ -33,7 +33,7 @@
         The service whose replicas may serve the request.
     customer : Customer or None
         The customer that sent the request; None if the route needs no customer.
-    size : Size
+    size : RequestSize
         Number of tokens in the prompt and in the longest answer.
     deadline_s : float
         Time by which the final answer must be sent.
@@ -62,7 +62,7 @@
     route: Route
     service: Service
     customer: Customer | None
-    size: Size
+    size: RequestSize
     deadline_s: float
     sent: int = 0
     may_have_run: bool = False
--- a/lycheetide/relay/_reservations.py
+++ b/lycheetide/relay/_reservations.py
@@ -14,7 +14,7 @@
 
 from lycheetide.gossip import Ended, MemoryWanted, WaitingRequest
 from lycheetide.httpclient import ChannelBroken, ConnectFailed
-from lycheetide.placement import Placement, count_room, needs_sharing
+from lycheetide.placement import Placement, count_reservable_tokens, needs_shared_memory
 from lycheetide.relay._evidence import suspect
 from lycheetide.relay._selection import (
     find_placement,
@@ -83,7 +83,7 @@
         If the memory can't be reserved.
     """
     engine = call.service.engine or ANY_ENGINE
-    if not needs_sharing(engine, call.size.tokens):
+    if not needs_shared_memory(engine, call.size.tokens):
         yield ReservedMemory()
         return
     memory, reservations = await _reserve_all(relay, call, wait_s)
@@ -148,7 +148,7 @@
             return True
         engine = self.call.service.engine or ANY_ENGINE
         wanted_tokens = self.call.size.tokens + sum(one.tokens for one in ahead)
-        return wanted_tokens <= count_room(engine, candidates)
+        return wanted_tokens <= count_reservable_tokens(engine, candidates)
 
     def enqueue(self, *, now_s):
         """Join the queue, or announce to all nodes that this call still waits."""
--- a/lycheetide/relay/_retries.py
+++ b/lycheetide/relay/_retries.py
@@ -89,7 +89,7 @@
     if call.sent == 0 or call.has_retry:
         return True
     nodes = len(relay.list_alive_nodes(now_s=now_s))
-    return relay.retries(call.service.name).has_left(nodes, now_s=now_s)
+    return relay.retries(call.service.name).has_retry_left(nodes, now_s=now_s)
 
 
 def ensure_retry(relay, call):
--- a/lycheetide/relay/_selection.py
+++ b/lycheetide/relay/_selection.py
@@ -4,13 +4,13 @@
 
 from lycheetide.gossip import START_WINDOW_S
 from lycheetide.placement import (
-    HELPERS_MOST,
+    MAX_HELPERS,
     Arrivals,
     caller_patience_s,
-    choose_plain,
-    choose_prompt,
-    count_unknown,
+    estimate_unknown_requests,
     may_send,
+    place_plain_request,
+    place_prompt,
     share_cold_limits,
 )
 from lycheetide.relay._broadcast import estimate_propagation_s
@@ -122,12 +122,12 @@
 def find_placement(relay, call, candidates, *, now_s):
     """Return the placement for a call, or None if there is none."""
     if not call.size.prompt_tokens:
-        return choose_plain(candidates)
+        return place_plain_request(candidates)
     engine = call.service.engine or ANY_ENGINE
     # A replica refuses a prompt if one of its helpers is shutting down. Other nodes may
     # not know that yet while the store is unavailable, so a second attempt with helpers
     # would be refused as well.
-    return choose_prompt(
+    return place_prompt(
         engine,
         call.size,
         candidates,
@@ -135,8 +135,8 @@
         left_s=find_first_event_due_s(call) - now_s,
         patience_s=find_patience_s(call),
         arrivals=estimate_arrivals(relay, call, candidates, now_s=now_s),
-        helpers_most=0 if call.helpers_refused else HELPERS_MOST,
-        unknown=count_unknown(
+        max_helpers=0 if call.helpers_refused else MAX_HELPERS,
+        unknown=estimate_unknown_requests(
             relay.job_table.starts_per_s(now_s=now_s),
             estimate_propagation_s(relay, now_s=now_s),
             len(relay.peers.alive(now_s=now_s)) + 1,
@@ -229,15 +229,16 @@
         cause = Cause.NO_ROOM
     else:
         cause = Cause.NO_MEMORY if candidates else Cause.NO_REPLICA
-    waits_s = placement.waits_s if placement is not None else 0.0
+    prefill_wait_s = placement.prefill_wait_s if placement is not None else 0.0
     harm = placement.harm if placement is not None else 0.0
-    retry_delay_s = max(DEFAULT_RETRY_DELAY_S, waits_s)
+    retry_delay_s = max(DEFAULT_RETRY_DELAY_S, prefill_wait_s)
     if placement is not None and harm > placement.worth:
         retry_delay_s = max(retry_delay_s, call.route.target_latency_s)
     relay.log.info(
         "A request finds no place.",
         extra={"request": call.request.attempt_id, "cause": str(cause),
-               "open_replicas": len(candidates), "waits_ms": round(waits_s * 1e3),
+               "open_replicas": len(candidates),
+               "waits_ms": round(prefill_wait_s * 1e3),
                "harm": round(harm, 1), "sent": call.sent},
     )  # fmt: skip
     return make_refusal(call, cause, retry_delay_s=retry_delay_s)
--- a/lycheetide/relay/_serve.py
+++ b/lycheetide/relay/_serve.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from lycheetide.placement import Size
+from lycheetide.placement import RequestSize
 from lycheetide.relay._buffered import serve_buffered
 from lycheetide.relay._call import Call
 from lycheetide.relay._outcomes import Cause, Refusal, StreamAborted
@@ -65,7 +65,7 @@
         route=route,
         service=service,
         customer=customer,
-        size=Size(request.prompt_tokens, request.answer_tokens),
+        size=RequestSize(request.prompt_tokens, request.answer_tokens),
         deadline_s=request.received_s + remaining_s - ANSWER_MARGIN_S,
     )
 
@@ -81,7 +81,7 @@
         If the call ends after a part of the answer was sent.
     """
     now_s = read_clock()
-    relay.retries(call.service.name).note_request(now_s=now_s)
+    relay.retries(call.service.name).record_request(now_s=now_s)
     reply.note(
         route=call.route.name,
         customer=call.customer.name if call.customer else "",
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -21,11 +21,11 @@
 from lycheetide.metrics import Counters, get_log, make_statsd
 from lycheetide.metrics._exposition import Exposition
 from lycheetide.placement import (
-    NEWS_S,
+    PROPAGATION_DELAY_S,
     Candidate,
-    GapGroup,
+    DecodingGroup,
+    PendingPrefill,
     RetryWindow,
-    UnreadPrompt,
     rank_replicas,
 )
 from lycheetide.relay._usage import UsageCounter
@@ -222,7 +222,7 @@
         starts = self._own_starts.get(replica)
         if not starts:
             return placed
-        begins_s = now_s - NEWS_S
+        begins_s = now_s - PROPAGATION_DELAY_S
         return placed + sum(1 for _ in takewhile(begins_s.__lt__, reversed(starts)))
 
     def drop_gone_replicas(self, *, now_s):
@@ -323,11 +323,13 @@
             rank=rank,
             slots=entry.slots,
             writers=workload.writers,
-            writing=tuple(GapGroup(*row) for row in workload.weights.items()),
+            decoding_groups=tuple(
+                DecodingGroup(*row) for row in workload.weights.items()
+            ),
             helping=workload.helping,
             backlog_s=self.job_table.backlog_s(entry.id, now_s=now_s),
-            unread=tuple(
-                UnreadPrompt(one.due_s - one.read_by_s, one.weight)
+            pending_prefills=tuple(
+                PendingPrefill(one.due_s - one.read_by_s, one.weight)
                 for one in self.job_table.unread(entry.id, now_s=now_s)
             ),
             kv_tokens=workload.kv_tokens,
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -9,7 +9,7 @@
 import anyio
 
 from lycheetide.httpclient import ChannelBroken
-from lycheetide.placement import CALLER_WAITS_S, pass_s
+from lycheetide.placement import MIN_CALLER_PATIENCE_S, estimate_pass_s
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._events import EventSplitter
 from lycheetide.relay._evidence import record_failed_attempt
@@ -225,7 +225,7 @@
             "request": call.request.attempt_id,
             "replica": placement.first.id,
             "readers": list_readers(placement),
-            "part_ms": round(placement.part_read_s * 1e3),
+            "part_ms": round(placement.part_prefill_s * 1e3),
             "tickets": len(memory.tickets),
             "prompt_tokens": call.size.prompt_tokens,
             "expected_ms": round(placement.expected_s * 1e3),
@@ -246,7 +246,7 @@
 async def _forward_unstreamed(relay, call, reply, attempt, stream_attempt):
     """Forward an answer that isn't a stream."""
     try:
-        body = await attempt.channel.read_all(timeout_s=CALLER_WAITS_S)
+        body = await attempt.channel.read_all(timeout_s=MIN_CALLER_PATIENCE_S)
     except ChannelBroken as broken:
         raise make_failure(broken, is_written=True) from broken
     if reply.is_started or attempt.answer.status >= 500:
@@ -293,7 +293,7 @@
                 await _forward_event(
                     relay, call, reply, progress, stream_attempt, event
                 )
-            event_timeout_s = SILENCE_MARGIN_S + pass_s(engine, 1)
+            event_timeout_s = SILENCE_MARGIN_S + estimate_pass_s(engine, 1)
     if splitter.rest.strip():
         raise AttemptFailed(Cause.BROKEN, "ended within an event", may_have_run=True)
 
--- a/standins/large.py
+++ b/standins/large.py
@@ -6,7 +6,7 @@
 
 from lycheetide import platform
 from lycheetide.gossip import Heartbeat
-from lycheetide.placement import Size
+from lycheetide.placement import RequestSize
 from lycheetide.relay._state import RelayState
 from lycheetide.replicas import RegistryChange, RegistryEntry
 from lycheetide.routes import Engine
@@ -65,7 +65,7 @@
             name=SERVICE, cold_requests_per_s=cold_per_s, engine=ENGINE
         ),
         list_excluded=list_no_exclusions,
-        size=Size(prompt_tokens, 1_500),
+        size=RequestSize(prompt_tokens, 1_500),
         request=SimpleNamespace(received_s=time.monotonic()),
         helpers_refused=False,
     )
