--- a/lycheetide/membership/_state.py
+++ b/lycheetide/membership/_state.py
@@ -2,8 +2,8 @@
 
 import itertools
 
-from lycheetide.membership._deputies import FailoverTracker
 from lycheetide.membership._evidence import Row, is_majority_heard, merge_rows
+from lycheetide.membership._failover import FailoverTracker
 from lycheetide.membership._owner import choose_owner, rank_members
 from lycheetide.membership._propose import is_proposer, propose_members
 from lycheetide.membership._view import NO_VIEW, fold_view
