--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -30,8 +30,8 @@
     CellSummary,
     Evidence,
     Member,
+    MemberRow,
     Membership,
-    Row,
     make_view_record,
 )
 from lycheetide.node._state import make_index
@@ -140,7 +140,7 @@
 def make_rows(members, cells_per_member):
     """Return the rows that a node sends about the members it knows."""
     return tuple(
-        Row(
+        MemberRow(
             Member(f"entry-{i:03d}", f"{i:016x}", f"10.0.0.{i % 250}:9001", "cork-a"),
             i, "serving", 17, 17, 40_000,
             tuple(
@@ -163,7 +163,7 @@
     record = make_view_record(
         "v", base_number=0, members=[own, *[row.member for row in rows]]
     )
-    membership.take_record(0, record, now_s=0.0)
+    membership.apply_record(0, record, now_s=0.0)
     membership.evidence = {row.member.member_id: Evidence(0.0, row) for row in rows}
     decode = make_decoder(PullReply)
     content = encode(PullReply(rows))
@@ -176,7 +176,7 @@
         encode(PullReply(tuple(own_rows)))
 
     def read():
-        membership.take_rows(decode(content).rows, asked_s=0.5, now_s=0.5)
+        membership.apply_rows(decode(content).rows, asked_s=0.5, now_s=0.5)
 
     return {
         "answer_us": measure_cpu_us(answer, repeats),
--- a/lycheetide/membership/__init__.py
+++ b/lycheetide/membership/__init__.py
@@ -3,7 +3,7 @@
 from lycheetide.membership._evidence import (
     CellSummary,
     Evidence,
-    Row,
+    MemberRow,
     is_majority_heard,
     merge_rows,
 )
@@ -26,8 +26,8 @@
     "Evidence",
     "Host",
     "Member",
+    "MemberRow",
     "Membership",
-    "Row",
     "View",
     "choose_owner",
     "fold_view",
--- a/lycheetide/membership/_evidence.py
+++ b/lycheetide/membership/_evidence.py
@@ -41,7 +41,7 @@
     free_requests: int
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class MemberRow(msgspec.Struct, frozen=True, array_like=True):
     """The status of one member, as reported by itself or passed on by another one.
 
     Parameters
@@ -77,7 +77,7 @@
     """A row and the time, on this node's clock, from which it dates."""
 
     at_s: float
-    row: Row
+    row: MemberRow
 
 
 def merge_rows(evidence, rows, *, asked_s):
@@ -87,7 +87,7 @@
     ----------
     evidence : mapping of str to Evidence
         The evidence so far, by member id.
-    rows : iterable of Row
+    rows : iterable of MemberRow
         The rows of the answer.
     asked_s : float
         When the question was sent.
--- a/lycheetide/membership/_failover.py
+++ b/lycheetide/membership/_failover.py
@@ -46,7 +46,7 @@
         self.out = frozenset()
         self._majority_since_s = {}
 
-    def note_awake(self, *, now_s):
+    def record_poll(self, *, now_s):
         """Record that this member polls its peers.
 
         After a gap between polls, this member was itself frozen. Its evidence of the
--- a/lycheetide/membership/_state.py
+++ b/lycheetide/membership/_state.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from lycheetide.membership._evidence import Row, is_majority_heard, merge_rows
+from lycheetide.membership._evidence import MemberRow, is_majority_heard, merge_rows
 from lycheetide.membership._failover import FailoverTracker
 from lycheetide.membership._owner import choose_owner, rank_members
 from lycheetide.membership._propose import is_proposer, propose_members
@@ -47,7 +47,7 @@
         self.settled_number = 0
         self.majority_informed_s = {}
         self._owner_cache = {}
-        self.deputies = FailoverTracker(own_id=own.member_id, lease_s=lease_s)
+        self.failover = FailoverTracker(own_id=own.member_id, lease_s=lease_s)
         self.view_applied_s = {}
 
     @property
@@ -55,15 +55,15 @@
         """The newest view known to this node."""
         return self.views[-1]
 
-    def take_record(self, offset, record, *, now_s):
+    def apply_record(self, offset, record, *, now_s):
         """Apply one record of the log; return whether the view changed."""
         view = fold_view(self.view, offset, record)
         if view is self.view:
             return False
-        self.take_view(view, now_s=now_s)
+        self.apply_view(view, now_s=now_s)
         return True
 
-    def take_view(self, view, *, now_s):
+    def apply_view(self, view, *, now_s):
         """Apply a view that the log has accepted, read there or received from a peer.
 
         Returns whether the view is newer than the present one.
@@ -74,11 +74,11 @@
             self.settled_number = view.number
         self.views.append(view)
         self._owner_cache = {}
-        self.deputies.reset()
+        self.failover.reset()
         self.view_applied_s[view.number] = now_s
         return True
 
-    def take_rows(self, rows, *, asked_s, now_s):
+    def apply_rows(self, rows, *, asked_s, now_s):
         """Merge the rows of a peer's answer into the evidence."""
         self.evidence = merge_rows(self.evidence, rows, asked_s=asked_s)
         self.evidence = {
@@ -89,17 +89,17 @@
         reported_number = max((row.settled_number for row in rows), default=0)
         if reported_number <= self.view.number:
             self.settled_number = max(self.settled_number, reported_number)
-        self.settle(now_s=now_s)
+        self.update_settled_view(now_s=now_s)
 
     def depose_silent(self, *, now_s, silent_s):
         """Depose the members that have been silent for longer than ``silent_s``."""
-        self.deputies.depose_silent(
+        self.failover.depose_silent(
             self.view, self.evidence, now_s=now_s, silent_s=silent_s
         )
 
-    def settle(self, *, now_s):
+    def update_settled_view(self, *, now_s):
         """Update which views have expired and which members can't act as owners."""
-        if self.deputies.update_expired(self.view, self.evidence, now_s=now_s):
+        if self.failover.update_expired(self.view, self.evidence, now_s=now_s):
             self._owner_cache = {}
         views = [v for v in self.views if v.number >= self.settled_number]
         for earlier, later in itertools.pairwise(views):
@@ -128,7 +128,7 @@
         item = self.evidence.get(member.member_id)
         return item is not None and item.row.view_number >= number
 
-    def is_acting(self, *, now_s):
+    def holds_lease(self, *, now_s):
         """Tell whether this node may act as an owner."""
         if self.view.find(self.own.member_id) is None:
             return False
@@ -149,7 +149,7 @@
         """Return the owner of a cell in the newest view, or None."""
         if cell not in self._owner_cache:
             self._owner_cache[cell] = choose_owner(
-                cell, self.view, excluded=self.deputies.out
+                cell, self.view, excluded=self.failover.out
             )
         return self._owner_cache[cell]
 
@@ -178,9 +178,9 @@
 
     def make_rows(self, *, state, config_version, cells, now_s):
         """Yield the rows sent to a peer: this node's own and its recent evidence."""
-        own = Row(
+        own = MemberRow(
             self.own, 0, state, self.view.number, self.settled_number, config_version,
-            tuple(cells), tuple(sorted(self.deputies.deposed)),
+            tuple(cells), tuple(sorted(self.failover.deposed)),
         )  # fmt: skip
         yield own
         for item in self.evidence.values():
@@ -188,7 +188,7 @@
             if age_ms > 1000 * max(self.lease_s, self.suspect_s):
                 continue
             row = item.row
-            yield Row(
+            yield MemberRow(
                 row.member, age_ms, row.state, row.view_number, row.settled_number,
                 row.config_version, row.cells, row.deposed,
             )  # fmt: skip
@@ -225,7 +225,7 @@
             within_s=limit_s,
         )
 
-    def newest_config(self):
+    def find_newest_config(self):
         """Return the highest reported configuration version and a member with it."""
         newest = max(
             self.evidence.values(),
--- a/lycheetide/membership/tests/test_deputies.py
+++ b/lycheetide/membership/tests/test_deputies.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lycheetide.membership import Member, Membership, View
-from lycheetide.membership._evidence import Row
+from lycheetide.membership._evidence import MemberRow
 
 LEASE_S = 2.0
 SILENT_S = 2.5
@@ -16,7 +16,7 @@
 
 def make_node(own, members):
     node = Membership(own, lease_s=LEASE_S, suspect_s=2.0)
-    node.take_view(View(1, members), now_s=0.0)
+    node.apply_view(View(1, members), now_s=0.0)
     return node
 
 
@@ -31,7 +31,7 @@
     def exchange_rows(self, now_s):
         """Let each responsive member poll all others, then depose silent members."""
         for asker in self.living():
-            asker.deputies.note_awake(now_s=now_s)
+            asker.failover.record_poll(now_s=now_s)
             for answerer in self.living():
                 if answerer is asker:
                     continue
@@ -40,9 +40,9 @@
                         state="serving", config_version=1, cells=(), now_s=now_s
                     )
                 )
-                asker.take_rows(rows, asked_s=now_s, now_s=now_s)
+                asker.apply_rows(rows, asked_s=now_s, now_s=now_s)
             asker.depose_silent(now_s=now_s, silent_s=SILENT_S)
-            asker.settle(now_s=now_s)
+            asker.update_settled_view(now_s=now_s)
 
     def living(self):
         return [n for name, n in self.nodes.items() if name not in self.unresponsive]
@@ -57,7 +57,9 @@
             now_s = start_s + step / 10
             self.exchange_rows(now_s)
             for node in self.nodes.values():
-                if node.find_owner("cell") == node.own and node.is_acting(now_s=now_s):
+                if node.find_owner("cell") == node.own and node.holds_lease(
+                    now_s=now_s
+                ):
                     acting.append((now_s, node.own.member_id))
         return acting
 
@@ -114,7 +116,7 @@
     fleet.run(3.0, 9.0)
     fleet.unresponsive.clear()
     for node in fleet.nodes.values():
-        node.deputies.note_awake(now_s=9.0)
+        node.failover.record_poll(now_s=9.0)
         node.depose_silent(now_s=9.0, silent_s=SILENT_S)
     acting = fleet.run(9.0, 16.0)
     late = {name for at_s, name in acting if at_s > 14.0}
@@ -133,10 +135,10 @@
     )
     for step in range(200):
         now_s = 3.0 + step / 10
-        alone.deputies.note_awake(now_s=now_s)
+        alone.failover.record_poll(now_s=now_s)
         alone.depose_silent(now_s=now_s, silent_s=SILENT_S)
-        alone.settle(now_s=now_s)
-        assert not alone.is_acting(now_s=now_s) or step < LEASE_S * 10
+        alone.update_settled_view(now_s=now_s)
+        assert not alone.holds_lease(now_s=now_s) or step < LEASE_S * 10
         assert alone.find_owner("cell") != alone.own
 
 
@@ -148,7 +150,7 @@
     fleet.run(3.0, 12.0)
     fleet.unresponsive.clear()
     for node in fleet.nodes.values():
-        node.take_view(View(2, fleet.members), now_s=12.0)
+        node.apply_view(View(2, fleet.members), now_s=12.0)
     acting = fleet.run(12.0, 20.0)
     assert {name for at_s, name in acting if at_s > 16.0} == {owner}
-    assert Row(fleet.members[0], 0, "serving", 1, 1, 1).deposed == ()
+    assert MemberRow(fleet.members[0], 0, "serving", 1, 1, 1).deposed == ()
--- a/lycheetide/membership/tests/test_state.py
+++ b/lycheetide/membership/tests/test_state.py
@@ -42,7 +42,7 @@
 
     def read_log(self, host, count):
         for offset in range(self.read[host], min(len(self.log), count)):
-            self.nodes[host].take_record(offset, self.log[offset], now_s=self.now_s)
+            self.nodes[host].apply_record(offset, self.log[offset], now_s=self.now_s)
             self.read[host] = offset + 1
 
     def make_rows(self, host):
@@ -79,7 +79,7 @@
         if not loses and start_number == self.start_counts[asker]:
             own_id = self.nodes[asker].own.member_id
             kept = [row for row in rows if row.member.member_id != own_id]
-            self.nodes[asker].take_rows(kept, asked_s=asked_s, now_s=self.now_s)
+            self.nodes[asker].apply_rows(kept, asked_s=asked_s, now_s=self.now_s)
 
     @rule(host=st.integers(0, HOSTS - 1))
     def read_all_answers(self, host):
@@ -89,7 +89,7 @@
     @rule(host=st.integers(0, HOSTS - 1))
     def follow_log(self, host):
         self.read_log(host, len(self.log))
-        self.nodes[host].settle(now_s=self.now_s)
+        self.nodes[host].update_settled_view(now_s=self.now_s)
 
     @rule(host=st.integers(0, HOSTS - 1))
     def propose(self, host):
@@ -140,7 +140,7 @@
             acting = [
                 node.own.member_id
                 for node in self.nodes
-                if node.is_acting(now_s=self.now_s)
+                if node.holds_lease(now_s=self.now_s)
                 and node.is_settled()
                 and node.find_owner(cell) == node.own
             ]
@@ -174,7 +174,7 @@
     nodes = [Membership(m, lease_s=LEASE_S, suspect_s=SUSPECT_S) for m in members]
     record = make_view_record("v1", base_number=0, members=members)
     for node in nodes:
-        node.take_record(0, record, now_s=0.0)
+        node.apply_record(0, record, now_s=0.0)
     return nodes
 
 
@@ -192,8 +192,8 @@
     """
     first, second, third = make_three_nodes()
     answers = list_rows(second, 1.0) + list_rows(third, 1.0)
-    first.take_rows(answers, asked_s=1.0, now_s=60.0)
-    assert not first.is_acting(now_s=60.0)
+    first.apply_rows(answers, asked_s=1.0, now_s=60.0)
+    assert not first.holds_lease(now_s=60.0)
 
 
 def test_a_later_owner_waits_until_most_members_know_the_later_view():
@@ -205,21 +205,21 @@
     """
     first, second, third = make_three_nodes()
     later = make_view_record("v2", base_number=1, members=[second.own, third.own])
-    second.take_record(1, later, now_s=3.0)
+    second.apply_record(1, later, now_s=3.0)
     for step in range(40):
         now_s = 3.0 + 0.4 * step
-        second.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
-        first.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
-        assert first.is_acting(now_s=now_s)
+        second.apply_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
+        first.apply_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
+        assert first.holds_lease(now_s=now_s)
         assert not second.is_settled()
-    third.take_record(1, later, now_s=20.0)
+    third.apply_record(1, later, now_s=20.0)
     for now_s in (20.0, 20.0 + LEASE_S - 0.1):
-        second.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
+        second.apply_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
         assert not second.is_settled()
     now_s = 20.0 + LEASE_S + 0.1
-    second.take_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
+    second.apply_rows(list_rows(third, now_s), asked_s=now_s, now_s=now_s)
     assert second.is_settled()
-    assert not first.is_acting(now_s=now_s)
+    assert not first.holds_lease(now_s=now_s)
 
 
 def test_an_outage_of_the_log_leaves_owners_acting():
@@ -230,8 +230,8 @@
     first, second, third = make_three_nodes()
     for now_s in (10.0, 1000.0, 3600.0):
         answers = list_rows(second, now_s) + list_rows(third, now_s)
-        first.take_rows(answers, asked_s=now_s, now_s=now_s)
-        assert first.is_acting(now_s=now_s + LEASE_S / 2)
+        first.apply_rows(answers, asked_s=now_s, now_s=now_s)
+        assert first.holds_lease(now_s=now_s + LEASE_S / 2)
 
 
 def test_a_node_that_hears_the_log_but_no_peer_proposes_nothing():
@@ -242,5 +242,5 @@
     """
     first, second, third = make_three_nodes()
     rows = list_rows(second, 1.0) + list_rows(third, 1.0)
-    first.take_rows(rows, asked_s=1.0, now_s=1.0)
+    first.apply_rows(rows, asked_s=1.0, now_s=1.0)
     assert first.propose(None, own_state="serving", now_s=10.0) is None
--- a/lycheetide/node/_members.py
+++ b/lycheetide/node/_members.py
@@ -71,7 +71,7 @@
     generator = random_state or random.Random()
     async with anyio.create_task_group() as group:
         while True:
-            node.membership.deputies.note_awake(now_s=read_clock())
+            node.membership.failover.record_poll(now_s=read_clock())
             addresses = list_peer_addresses(node)
             fanout = min(node.settings.heartbeat_fanout, len(addresses))
             for address in generator.sample(addresses, fanout):
@@ -95,12 +95,12 @@
         node.counters.add("heartbeats.unanswered")
         return
     now_s = read_clock()
-    if reply.view is not None and node.membership.take_view(reply.view, now_s=now_s):
+    if reply.view is not None and node.membership.apply_view(reply.view, now_s=now_s):
         on_change()
     rows = [row for row in reply.rows if row.member.member_id != node.own_id]
-    out = node.membership.deputies.out
-    node.membership.take_rows(rows, asked_s=asked_s, now_s=now_s)
-    if node.membership.deputies.out != out:
+    out = node.membership.failover.out
+    node.membership.apply_rows(rows, asked_s=asked_s, now_s=now_s)
+    if node.membership.failover.out != out:
         on_change()
 
 
@@ -121,9 +121,9 @@
             node.membership.depose_silent(
                 now_s=now_s, silent_s=node.settings.suspect_s + DEPOSE_EXTRA_SILENCE_S
             )
-        out = node.membership.deputies.out
-        node.membership.settle(now_s=now_s)
-        if node.membership.deputies.out != out:
+        out = node.membership.failover.out
+        node.membership.update_settled_view(now_s=now_s)
+        if node.membership.failover.out != out:
             on_change()
         view = node.membership.view
         members = node.membership.propose(node.hosts, own_state=node.life, now_s=now_s)
--- a/lycheetide/node/_operator.py
+++ b/lycheetide/node/_operator.py
@@ -72,7 +72,7 @@
         "view": membership.view.number,
         "settled_view": membership.settled_number,
         "members": [m.member_id for m in membership.view.members],
-        "acting": membership.is_acting(now_s=now_s),
+        "acting": membership.holds_lease(now_s=now_s),
         "active_requests": len(node.active),
         "permits": len(node.permits),
         "cells": [describe_cell(owned) for owned in node.cells.values()],
--- a/lycheetide/node/_owner.py
+++ b/lycheetide/node/_owner.py
@@ -177,15 +177,15 @@
     )
 
 
-def is_acting(node, now_s):
+def holds_lease(node, now_s):
     """Return whether this node may grant permits now."""
-    return node.membership.is_acting(now_s=now_s)
+    return node.membership.holds_lease(now_s=now_s)
 
 
 def run_schedule(node, owned):
     """Grant the permits that can be granted, and wake the calls that wait for them."""
     now_s = read_clock()
-    if owned.is_relinquished or not is_acting(node, now_s):
+    if owned.is_relinquished or not holds_lease(node, now_s):
         return
     owned.cell.is_settled = not owned.earlier
     for permit in owned.cell.schedule(now_s=now_s):
@@ -213,7 +213,7 @@
     """
     now_s = read_clock()
     owned = node.cells.get(request.cell)
-    if request.owner_id != node.own_id or owned is None or not is_acting(node, now_s):
+    if request.owner_id != node.own_id or owned is None or not holds_lease(node, now_s):
         return AcquireReply(AcquireStatus.NOT_OWNER)
     if request.ticket_id not in owned.granted:
         try:
--- a/lycheetide/node/_tail.py
+++ b/lycheetide/node/_tail.py
@@ -119,7 +119,7 @@
     """
     while True:
         await anyio.sleep(node.settings.heartbeat_interval_s)
-        version, member = node.membership.newest_config()
+        version, member = node.membership.find_newest_config()
         if version <= node.config.version or member is None:
             continue
         try:
@@ -167,7 +167,7 @@
         changed = False
         for position, record in batch.records:
             offset = position + 1
-            if node.membership.take_record(position, record, now_s=now_s):
+            if node.membership.apply_record(position, record, now_s=now_s):
                 changed = True
         if changed:
             hosts = [member.host for member in node.membership.view.members]
--- a/lycheetide/peers/_messages.py
+++ b/lycheetide/peers/_messages.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Any
 
-from lycheetide.membership import Row, View
+from lycheetide.membership import MemberRow, View
 from lycheetide.scheduling import Permit
 
 
@@ -12,7 +12,7 @@
 class PullRequest:
     """Heartbeat: a member sends its own row and asks for the others."""
 
-    row: Row
+    row: MemberRow
 
 
 @dataclass(frozen=True)
@@ -21,14 +21,14 @@
 
     Parameters
     ----------
-    rows : tuple of Row
+    rows : tuple of MemberRow
         One for each member heard of recently.
     view : View or None
         Latest view, if the sender of the heartbeat knows only an older one. A new host
         needs it from here during an outage of the log.
     """
 
-    rows: tuple[Row, ...]
+    rows: tuple[MemberRow, ...]
     view: View | None = None
 
 
