--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -39,7 +39,7 @@
 from lycheetide.peers._codec import encode, make_decoder
 from lycheetide.platformlog import LogClient
 from lycheetide.routing import rank_cells
-from lycheetide.scheduling import Cell, Report, Ticket
+from lycheetide.scheduling import Cell, LoadReport, Ticket
 from lycheetide.upstreams import fetch_holdings, fetch_report, make_http_client
 from standins.callers import ask_prompt, make_headers
 from standins.local import LocalFleet, make_forge_works
@@ -104,15 +104,15 @@
     def report_all():
         clock[0] += 0.01
         for upstream in upstreams:
-            report = Report("b", True, kv_capacity_tokens=400_000)
-            cell.take_report(upstream.name, report, asked_s=clock[0], now_s=clock[0])
+            report = LoadReport("b", True, kv_capacity_tokens=400_000)
+            cell.apply_report(upstream.name, report, asked_s=clock[0], now_s=clock[0])
 
     def decide_one():
         number[0] += 1
         clock[0] += 0.001
         if number[0] % replicas == 0:
             report_all()
-        cell.ask(make_ticket(number[0], clock[0]), now_s=clock[0])
+        cell.enqueue(make_ticket(number[0], clock[0]), now_s=clock[0])
         cell.schedule(now_s=clock[0])
         while len(cell.permits) >= replicas:
             cell.finish(next(iter(cell.permits)))
--- a/lycheetide/model/_engine_simulation.py
+++ b/lycheetide/model/_engine_simulation.py
@@ -12,7 +12,7 @@
 from lycheetide.fleet import FailureDomain, Upstream
 from lycheetide.model._engine import BatchingEngine, EngineJob
 from lycheetide.outcomes import NotRun
-from lycheetide.scheduling import Report, Ticket
+from lycheetide.scheduling import LoadReport, Ticket
 
 # Time from the decision until a request reaches its engines.
 DISPATCH_S = 0.002
@@ -194,7 +194,7 @@
     def _dispatch(self, now_s):
         for ticket, names in list(self.scheduler.decide(now_s)):
             self.schedule(now_s + DISPATCH_S, self._start, ticket, names)
-        for name in self.scheduler.find_unproved():
+        for name in self.scheduler.find_unconfirmed():
             if (
                 now_s - self.extra_report_asked_s.get(name, -1.0)
                 >= EXTRA_REPORT_SPACING_S
@@ -296,7 +296,7 @@
 
     def _make_report(self, name):
         engine = self.engines[name]
-        return Report(
+        return LoadReport(
             f"b{engine.boot}",
             True,
             running=engine.running(),
--- a/lycheetide/model/_policies.py
+++ b/lycheetide/model/_policies.py
@@ -14,7 +14,7 @@
 from lycheetide.fleet import Upstream, takes_new_work
 from lycheetide.outcomes import NotRun
 from lycheetide.routing import rank_cells
-from lycheetide.scheduling import Cell, Policy, Report, Ticket
+from lycheetide.scheduling import Cell, LoadReport, SchedulingPolicy, Ticket
 
 SEGMENT_SHARE = 0.8
 REPLICAS_PER_CELL = 8
@@ -39,7 +39,7 @@
         Called with the time at each heartbeat.
     configure : callable
         Called with the failure domains and the time.
-    find_unproved : callable
+    find_unconfirmed : callable
         Returns the names of the replicas whose load must be reported at once.
     withdraw : callable
         Called with the id of a request that no longer waits.
@@ -53,7 +53,7 @@
     report: Callable[..., Any]
     share: Callable[..., Any]
     configure: Callable[..., Any]
-    find_unproved: Callable[..., Any]
+    find_unconfirmed: Callable[..., Any]
     withdraw: Callable[..., Any]
     uses_priority: bool = True
 
@@ -66,7 +66,7 @@
         cell_members.setdefault(f"cell-{index % cells_needed}", []).append(upstream)
     cells = {}
     for name, members in cell_members.items():
-        cells[name] = Cell(name, owner_id=name, policy=policy or Policy())
+        cells[name] = Cell(name, owner_id=name, policy=policy or SchedulingPolicy())
         cells[name].is_settled = True
         cells[name].apply_upstreams(members, domains, now_s=0.0)
     cell_by_replica = {
@@ -83,7 +83,7 @@
         refusals = []
         for name in ranked:
             try:
-                cells[name].ask(ticket, now_s=now_s)
+                cells[name].enqueue(ticket, now_s=now_s)
                 return
             except NotRun as refusal:
                 refusals.append(refusal)
@@ -100,7 +100,7 @@
         cell.finish(permit_id)
 
     def report(name, report, asked_s, now_s):
-        cells[cell_by_replica[name]].take_report(
+        cells[cell_by_replica[name]].apply_report(
             name, report, asked_s=asked_s, now_s=now_s
         )
 
@@ -112,15 +112,15 @@
         for name, members in cell_members.items():
             cells[name].apply_upstreams(members, domains, now_s=now_s)
 
-    def find_unproved():
-        return [name for cell in cells.values() for name in cell.find_unproved()]
+    def find_unconfirmed():
+        return [name for cell in cells.values() for name in cell.find_unconfirmed()]
 
     def withdraw(request_id):
         for cell in cells.values():
             cell.withdraw(f"t{request_id[1:]}")
 
     return Scheduler(
-        arrive, decide, end, report, share, configure, find_unproved, withdraw
+        arrive, decide, end, report, share, configure, find_unconfirmed, withdraw
     )
 
 
@@ -132,7 +132,7 @@
     prompt that exceeds the memory of one engine is split over as many as it needs.
     """
     by_name = {u.name: u for u in upstreams}
-    reports = {u.name: Report("b", True) for u in upstreams}
+    reports = {u.name: LoadReport("b", True) for u in upstreams}
     outstanding = dict.fromkeys(by_name, 0)
     state = {"domains": domains}
     queue: list[Ticket] = []
--- a/lycheetide/node/_owner.py
+++ b/lycheetide/node/_owner.py
@@ -20,7 +20,7 @@
     PeerUnreached,
     RenewReply,
 )
-from lycheetide.scheduling import Cell, Policy, Ticket
+from lycheetide.scheduling import Cell, SchedulingPolicy, Ticket
 
 LONG_POLL_S = 1.0
 """Longest time that an owner holds an ``acquire`` call open until a grant."""
@@ -94,7 +94,7 @@
 def _start_owning(node, name):
     """Start to own a cell; a task asks earlier owners for its state."""
     view = node.membership.view
-    policy = Policy(permit_use_s=node.settings.permit_use_s)
+    policy = SchedulingPolicy(permit_use_s=node.settings.permit_use_s)
     cell = Cell(name, owner_id=f"{node.own_id}@{view.number}", policy=policy)
     owned = OwnedCell(cell, view.number)
     owned.earlier = dict(node.membership.find_earlier_owners(name))
@@ -217,7 +217,7 @@
         return AcquireReply(AcquireStatus.NOT_OWNER)
     if request.ticket_id not in owned.granted:
         try:
-            owned.cell.ask(_make_ticket(node, request, now_s), now_s=now_s)
+            owned.cell.enqueue(_make_ticket(node, request, now_s), now_s=now_s)
         except NotRun as refusal:
             return AcquireReply(
                 AcquireStatus.REFUSED,
@@ -237,7 +237,7 @@
         AcquireStatus.GRANTED,
         permit_id=permit.permit_id,
         replicas=permit.replicas,
-        wants_met=owned.cell.is_short_of_proof(permit.replicas),
+        wants_met=owned.cell.is_awaiting_confirmation(permit.replicas),
     )
 
 
@@ -251,7 +251,7 @@
     if owned is None:
         return MetReply()
     name = request.replica
-    if owned.cell.note_met(request.permit_id, name, request.boot_id):
+    if owned.cell.record_accepted_permit(request.permit_id, name, request.boot_id):
         run_schedule(node, owned)
     else:
         owned.probe_sent_s[name] = 0.0
@@ -325,7 +325,7 @@
         permit_id = granted.permit_id
     owned.cell.finish(permit_id)
     for name in request.broken:
-        owned.cell.take_break(name)
+        owned.cell.mark_broken(name)
         owned.probe_sent_s[name] = 0.0
     run_schedule(node, owned)
     return FinishReply()
@@ -355,7 +355,7 @@
         await anyio.sleep(SCHEDULE_INTERVAL_S)
         now_s = read_clock()
         for owned in list(node.cells.values()):
-            owned.cell.drop_lost(
+            owned.cell.drop_expired(
                 now_s=now_s,
                 ticket_s=LONG_POLL_S + settings.permit_use_s,
                 permit_s=settings.permit_lost_s,
--- a/lycheetide/node/_watch.py
+++ b/lycheetide/node/_watch.py
@@ -53,7 +53,7 @@
         if owned.cell.replicas.get(name) == replica or _is_report_stale(
             node, owned, name
         ):
-            owned.cell.take_silence(name)
+            owned.cell.mark_silent(name)
         owner_log.debug(
             "A replica did not answer the load poll.",
             extra={"upstream": name, "cause": str(error)},
@@ -64,7 +64,7 @@
         # report doesn't tell which were accepted; `probe_replica` asks for that.
         report = replace(report, met=frozenset())
     before = owned.cell.replicas.get(name)
-    owned.cell.take_report(name, report, asked_s=asked_s, now_s=read_clock())
+    owned.cell.apply_report(name, report, asked_s=asked_s, now_s=read_clock())
     after = owned.cell.replicas.get(name)
     if (
         before
@@ -107,7 +107,9 @@
         # A silent replica is detected by its load poll, not here.
         return
     request_ids = {holding.request_id for holding in holdings}
-    if not owned.cell.take_met(name, boot_id, request_ids, asked_s=asked_s):
+    if not owned.cell.record_accepted_requests(
+        name, boot_id, request_ids, asked_s=asked_s
+    ):
         await poll_replica(node, owned, name)
         return
     run_schedule(node, owned)
@@ -118,7 +120,7 @@
     replica = owned.cell.replicas.get(name)
     if replica is None:
         return False
-    return read_clock() - replica.proved_s > node.settings.report_stale_s
+    return read_clock() - replica.report_asked_s > node.settings.report_stale_s
 
 
 async def prove_replicas(node):
@@ -128,7 +130,7 @@
             await anyio.sleep(PROBE_CHECK_INTERVAL_S)
             now_s = read_clock()
             for owned in list(node.cells.values()):
-                for name in owned.cell.find_unproved():
+                for name in owned.cell.find_unconfirmed():
                     last_s = owned.probe_sent_s.get(name, 0.0)
                     if now_s - last_s >= find_probe_interval_s(owned, name):
                         owned.probe_sent_s[name] = now_s
@@ -174,7 +176,7 @@
     orphans.extend(h for h in holdings if h.request_id in lost - alive)
     for orphan in orphans:
         await _release(node, upstream, orphan)
-    owned.cell.end_lost(name, {holding.request_id for holding in holdings})
+    owned.cell.release_lost_permits(name, {holding.request_id for holding in holdings})
     run_schedule(node, owned)
 
 
--- a/lycheetide/scheduling/__init__.py
+++ b/lycheetide/scheduling/__init__.py
@@ -7,22 +7,22 @@
 from lycheetide.scheduling._order import order_tickets
 from lycheetide.scheduling._reclaim import HeldMemory, find_orphans
 from lycheetide.scheduling._types import (
+    LoadReport,
     Permit,
-    Policy,
     ReplicaLoad,
     ReplicaState,
-    Report,
+    SchedulingPolicy,
     Ticket,
 )
 
 __all__ = [
     "Cell",
     "HeldMemory",
+    "LoadReport",
     "Permit",
-    "Policy",
     "ReplicaLoad",
     "ReplicaState",
-    "Report",
+    "SchedulingPolicy",
     "Ticket",
     "choose_replicas",
     "count_open_slots",
--- a/lycheetide/scheduling/_cell.py
+++ b/lycheetide/scheduling/_cell.py
@@ -17,11 +17,11 @@
 from lycheetide.scheduling._limits import count_open_slots, needs_confirmation
 from lycheetide.scheduling._order import order_tickets
 from lycheetide.scheduling._types import (
+    LoadReport,
     Permit,
-    Policy,
     ReplicaLoad,
     ReplicaState,
-    Report,
+    SchedulingPolicy,
 )
 
 CHART = load_chart("upstream")
@@ -42,14 +42,14 @@
         The name of the cell.
     owner_id : str
         The owner's member id, which makes permit ids unique.
-    policy : Policy
+    policy : SchedulingPolicy
         The parameters of the scheduling policy.
     """
 
     def __init__(self, name, *, owner_id, policy=None):
         self.name = name
         self.owner_id = owner_id
-        self.policy = policy or Policy()
+        self.policy = policy or SchedulingPolicy()
         self.replicas = {}
         self.tickets = {}
         self.permits = {}
@@ -84,10 +84,10 @@
             del self.replicas[name]
             self.met.pop(name, None)
 
-    def take_report(self, name, report, *, asked_s, now_s):
+    def apply_report(self, name, report, *, asked_s, now_s):
         """Apply a load report that was requested at ``asked_s``."""
         current = self.replicas.get(name)
-        if current is None or asked_s < current.proved_s:
+        if current is None or asked_s < current.report_asked_s:
             return
         self._update_accepted(current, report, asked_s)
         report = replace(report, at_s=asked_s)
@@ -108,14 +108,14 @@
             current,
             phase=CHART.step(current.phase, event),
             boot_id=report.boot_id,
-            proved_s=asked_s,
+            report_asked_s=asked_s,
             ramp_limit=ramp,
             report=report,
             short_backlog_until_s=asked_s + short_backlog_s,
             huge_backlog_until_s=asked_s + huge_backlog_s,
         )
 
-    def take_met(self, name, boot_id, request_ids, *, asked_s):
+    def record_accepted_requests(self, name, boot_id, request_ids, *, asked_s):
         """Record which requests an upstream's current process has accepted.
 
         Parameters
@@ -137,12 +137,12 @@
         current = self.replicas.get(name)
         if current is None or current.boot_id != boot_id:
             return False
-        if asked_s >= current.proved_s:
-            report = Report(boot_id, warm=True, met=frozenset(request_ids))
+        if asked_s >= current.report_asked_s:
+            report = LoadReport(boot_id, warm=True, met=frozenset(request_ids))
             self._update_accepted(current, report, asked_s)
         return True
 
-    def note_met(self, permit_id, name, boot_id):
+    def record_accepted_permit(self, permit_id, name, boot_id):
         """Record that an upstream accepted a permit's request, as its entry node saw.
 
         Returns
@@ -156,7 +156,7 @@
         self.met.setdefault(name, set()).add(permit_id)
         return True
 
-    def is_short_of_proof(self, names):
+    def is_awaiting_confirmation(self, names):
         """Tell whether any of the replicas needs a confirmation for further grants."""
         return bool(self._list_unconfirmed(set(names).intersection(self.replicas)))
 
@@ -221,11 +221,11 @@
         """Tell whether a request's prompt counts as huge."""
         return ticket.prompt_tokens >= self.policy.huge_tokens
 
-    def take_silence(self, name):
+    def mark_silent(self, name):
         """Record that a replica did not answer."""
         self._mark_unavailable(name, "went_silent")
 
-    def take_break(self, name):
+    def mark_broken(self, name):
         """Record that a replica broke a connection; it may have restarted cold.
 
         It is granted nothing until its next report, which is requested at once.
@@ -243,7 +243,7 @@
         ramp = current.upstream.cold_limit_requests
         self.replicas[name] = replace(current, phase=phase, ramp_limit=ramp)
 
-    def ask(self, ticket, *, now_s):
+    def enqueue(self, ticket, *, now_s):
         """Add a request to the queue, or refuse it.
 
         Parameters
@@ -504,7 +504,7 @@
         self.permits.pop(permit_id, None)
         self.lost_permits.pop(permit_id, None)
 
-    def drop_lost(self, *, now_s, ticket_s, permit_s):
+    def drop_expired(self, *, now_s, ticket_s, permit_s):
         """Drop expired tickets, and mark permits that were not renewed as lost.
 
         A lost permit still counts towards the load of its replicas until the engine is
@@ -518,7 +518,7 @@
             if now_s - permit.renewed_s > permit_s:
                 self.lost_permits[permit.permit_id] = self.permits.pop(permit.permit_id)
 
-    def end_lost(self, name, held_request_ids):
+    def release_lost_permits(self, name, held_request_ids):
         """Release lost permits at a replica that no longer holds anything for them."""
         for permit_id, permit in list(self.lost_permits.items()):
             if name not in permit.replicas:
@@ -538,7 +538,7 @@
                 permit, replicas=replicas, tokens=tokens
             )
 
-    def find_unproved(self):
+    def find_unconfirmed(self):
         """Return the replicas that need a confirmation for further grants.
 
         Empty if no request is queued.
@@ -577,9 +577,9 @@
         is_open=is_open,
         phase=CHART.initial,
         boot_id="",
-        proved_s=now_s - 1.0,
+        report_asked_s=now_s - 1.0,
         ramp_limit=upstream.cold_limit_requests,
-        report=Report(boot_id="", warm=False, at_s=now_s - 1.0),
+        report=LoadReport(boot_id="", warm=False, at_s=now_s - 1.0),
         short_backlog_until_s=now_s,
         huge_backlog_until_s=now_s,
     )
--- a/lycheetide/scheduling/_choose.py
+++ b/lycheetide/scheduling/_choose.py
@@ -27,7 +27,7 @@
         The request.
     loads : sequence of ReplicaLoad
         The loads of all replicas of the cell.
-    policy : Policy
+    policy : SchedulingPolicy
         The parameters of the choice.
     cached_tokens : mapping of str to int
         For each replica, the number of prompt tokens expected in its prefix cache.
@@ -60,8 +60,8 @@
     if load.is_draining and ticket.total_tokens > policy.draining_max_tokens:
         return False
     if is_huge:
-        return load.takes_huge and load.huge_backlog_s <= policy.ahead_s
-    return load.short_backlog_s <= policy.ahead_s
+        return load.takes_huge and load.huge_backlog_s <= policy.max_prefill_backlog_s
+    return load.short_backlog_s <= policy.max_prefill_backlog_s
 
 
 def _choose_earliest(ticket, candidates, policy, cached_tokens, is_huge):
@@ -86,8 +86,16 @@
         affinity_bonus_s = (
             policy.prefix_affinity_s if cached_tokens.get(load.name) else 0.0
         )
-        crowd_s = policy.crowd_s if load.huge_backlog_s > 0 and not is_huge else 0.0
-        return prefilled_s(load) + crowd_s - affinity_bonus_s, load.running, load.name
+        huge_prompt_delay_s = (
+            policy.huge_prompt_delay_s
+            if load.huge_backlog_s > 0 and not is_huge
+            else 0.0
+        )
+        return (
+            prefilled_s(load) + huge_prompt_delay_s - affinity_bonus_s,
+            load.running,
+            load.name,
+        )
 
     return min(candidates, key=rank)
 
@@ -106,7 +114,7 @@
         if load.slots > 0
         and load.kv_free_tokens >= part
         and load.name not in ticket.avoid
-        and load.huge_backlog_s <= policy.ahead_s
+        and load.huge_backlog_s <= policy.max_prefill_backlog_s
     ]
     if len(candidates) < segments:
         return ()
--- a/lycheetide/scheduling/_types.py
+++ b/lycheetide/scheduling/_types.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True)
-class Policy:
+class SchedulingPolicy:
     """Parameters of the scheduling policy.
 
     Parameters
@@ -14,7 +14,7 @@
         Prompts of at least this many tokens are treated as huge.
     huge_share : float
         The share of a cell's replicas that accept huge prompts.
-    ahead_s : float
+    max_prefill_backlog_s : float
         The prefill backlog, in seconds, above which a replica is granted no further
         prompt.
     segment_memory_share : float
@@ -23,7 +23,7 @@
     prefix_affinity_s : float
         How much later than on the least loaded replica a request may start in order
         to use a cached prefix, in addition to the prefill time that the prefix saves.
-    crowd_s : float
+    huge_prompt_delay_s : float
         The expected delay of a short prompt on a replica that is prefilling a huge
         one: the engine completes its current step first.
     drain_after_s : float
@@ -37,10 +37,10 @@
 
     huge_tokens: int = 32_000
     huge_share: float = 0.6
-    ahead_s: float = 0.5
+    max_prefill_backlog_s: float = 0.5
     segment_memory_share: float = 0.8
     prefix_affinity_s: float = 0.1
-    crowd_s: float = 0.05
+    huge_prompt_delay_s: float = 0.05
     drain_after_s: float = 2.0
     draining_max_tokens: int = 16_000
     permit_use_s: float = 2.0
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class LoadReport:
     """A load report of an upstream; it lags behind the actual load.
 
     Parameters
@@ -170,12 +170,12 @@
         Its state in the upstream state chart.
     boot_id : str
         The boot id in the last report, which identifies the upstream's process.
-    proved_s : float
+    report_asked_s : float
         When the last report with this boot id was requested.
     ramp_limit : int
         The number of requests that it may have in progress at present; doubles with
         each warm report.
-    report : Report
+    report : LoadReport
         The last report.
     short_backlog_until_s, huge_backlog_until_s : float
         When the short and the huge prompts granted so far are expected to be
@@ -186,9 +186,9 @@
     is_open: bool
     phase: str
     boot_id: str
-    proved_s: float
+    report_asked_s: float
     ramp_limit: int
-    report: Report
+    report: LoadReport
     short_backlog_until_s: float
     huge_backlog_until_s: float
 
--- a/lycheetide/scheduling/tests/test_cell.py
+++ b/lycheetide/scheduling/tests/test_cell.py
@@ -13,7 +13,7 @@
 
 from lycheetide.fleet import FailureDomain, Upstream
 from lycheetide.outcomes import NotRun, Reason
-from lycheetide.scheduling import Cell, Report, Ticket
+from lycheetide.scheduling import Cell, LoadReport, Ticket
 
 COLD_LIMIT = 3
 WARM_LIMIT = 8
@@ -49,8 +49,8 @@
     for _ in range(6):
         now_s += 0.1
         for upstream in upstreams:
-            report = Report("b1", warm, kv_capacity_tokens=CAPACITY)
-            cell.take_report(upstream.name, report, asked_s=now_s, now_s=now_s)
+            report = LoadReport("b1", warm, kv_capacity_tokens=CAPACITY)
+            cell.apply_report(upstream.name, report, asked_s=now_s, now_s=now_s)
     return cell
 
 
@@ -84,7 +84,9 @@
         for _ in range(count):
             self.number += 1
             try:
-                cell.ask(make_ticket(self.number, now_s=self.now_s), now_s=self.now_s)
+                cell.enqueue(
+                    make_ticket(self.number, now_s=self.now_s), now_s=self.now_s
+                )
             except NotRun:
                 continue
         for permit in cell.schedule(now_s=self.now_s):
@@ -100,7 +102,7 @@
     @rule(owner=st.integers(0, 1))
     def send_report(self, owner):
         cell = self.owners[owner % len(self.owners)]
-        report = Report(
+        report = LoadReport(
             f"b{self.boot}", not self.is_cold, running=len(self.in_flight),
             kv_capacity_tokens=CAPACITY,
         )  # fmt: skip
@@ -110,7 +112,7 @@
     def read_report(self, position):
         if self.reports:
             cell, asked_s, report = self.reports.pop(position % len(self.reports))
-            cell.take_report("e1", report, asked_s=asked_s, now_s=self.now_s)
+            cell.apply_report("e1", report, asked_s=asked_s, now_s=self.now_s)
 
     @rule(times=st.integers(1, 4))
     def report_at_once(self, times):
@@ -181,10 +183,10 @@
     """
     cell = make_cell()
     for number in range(20):
-        cell.ask(make_ticket(number, now_s=1.0), now_s=1.0)
+        cell.enqueue(make_ticket(number, now_s=1.0), now_s=1.0)
     assert len(cell.schedule(now_s=1.0)) == COLD_LIMIT - 1
-    report = Report("b1", True, running=2, kv_capacity_tokens=CAPACITY)
-    cell.take_report("e1", report, asked_s=1.1, now_s=1.1)
+    report = LoadReport("b1", True, running=2, kv_capacity_tokens=CAPACITY)
+    cell.apply_report("e1", report, asked_s=1.1, now_s=1.1)
     assert len(cell.schedule(now_s=1.1)) == COLD_LIMIT - 1
 
 
@@ -199,7 +201,7 @@
     out = {"cork-a": FailureDomain("cork-a", "munster", "out")}
     cell.apply_upstreams(upstreams, out, now_s=2.0)
     with pytest.raises(NotRun, match="no replica is open"):
-        cell.ask(make_ticket(1, now_s=2.0), now_s=2.0)
+        cell.enqueue(make_ticket(1, now_s=2.0), now_s=2.0)
     cell.apply_upstreams(upstreams, DOMAINS, now_s=3.0)
     assert cell.replicas["e1"].ramp_limit == 2
 
@@ -212,7 +214,7 @@
     """
     cell = make_cell(4)
     for number in (1, 2):
-        cell.ask(make_ticket(number, 900_000, now_s=1.0), now_s=1.0)
+        cell.enqueue(make_ticket(number, 900_000, now_s=1.0), now_s=1.0)
     first = cell.schedule(now_s=1.0)
     assert [len(permit.replicas) for permit in first] == [3]
     assert cell.schedule(now_s=5.0) == []
@@ -228,11 +230,11 @@
     delay it indefinitely.
     """
     cell = make_cell(4)
-    cell.ask(make_ticket(1, 900_000, now_s=1.0), now_s=1.0)
+    cell.enqueue(make_ticket(1, 900_000, now_s=1.0), now_s=1.0)
     holder = cell.schedule(now_s=1.0)[0]
-    cell.ask(make_ticket(2, 900_000, now_s=1.1), now_s=1.1)
-    cell.ask(make_ticket(3, 2_000, now_s=4.0), now_s=4.0)
-    cell.ask(make_ticket(4, 60_000, now_s=4.0, priority=0), now_s=4.0)
+    cell.enqueue(make_ticket(2, 900_000, now_s=1.1), now_s=1.1)
+    cell.enqueue(make_ticket(3, 2_000, now_s=4.0), now_s=4.0)
+    cell.enqueue(make_ticket(4, 60_000, now_s=4.0, priority=0), now_s=4.0)
     granted = [p.ticket.ticket_id for p in cell.schedule(now_s=4.0)]
     assert granted == ["t3"]
     cell.finish(holder.permit_id)
@@ -243,17 +245,17 @@
 def test_waiting_requests_age_past_higher_classes():
     """High-priority requests arrive continuously; a low-priority one must still run."""
     cell = make_cell(warm_limit_requests=1, cold_limit_requests=1)
-    cell.ask(make_ticket(0, now_s=1.0, priority=2), now_s=1.0)
+    cell.enqueue(make_ticket(0, now_s=1.0, priority=2), now_s=1.0)
     old = make_ticket("old", now_s=1.0, priority=2, aging_s=10.0)
-    cell.ask(old, now_s=1.0)
+    cell.enqueue(old, now_s=1.0)
     running = cell.schedule(now_s=1.0)[0].permit_id
     served = []
     for number in range(1, 60):
         now_s = 1.0 + number
-        cell.ask(make_ticket(number, now_s=now_s), now_s=now_s)
+        cell.enqueue(make_ticket(number, now_s=now_s), now_s=now_s)
         cell.finish(running)
-        report = Report("b1", True, kv_capacity_tokens=CAPACITY)
-        cell.take_report("e1", report, asked_s=now_s, now_s=now_s)
+        report = LoadReport("b1", True, kv_capacity_tokens=CAPACITY)
+        cell.apply_report("e1", report, asked_s=now_s, now_s=now_s)
         permit = cell.schedule(now_s=now_s)[0]
         running = permit.permit_id
         served.append(permit.ticket.ticket_id)
@@ -265,12 +267,12 @@
     """One customer sends a hundred requests, then another customer sends one."""
     cell = make_cell(warm_limit_requests=4, cold_limit_requests=4)
     for number in range(100):
-        cell.ask(make_ticket(number, now_s=1.0, customer="large"), now_s=1.0)
+        cell.enqueue(make_ticket(number, now_s=1.0, customer="large"), now_s=1.0)
     cell.schedule(now_s=1.0)
-    cell.ask(make_ticket("small", now_s=1.2, customer="small"), now_s=1.2)
+    cell.enqueue(make_ticket("small", now_s=1.2, customer="small"), now_s=1.2)
     cell.finish(next(iter(cell.permits)))
-    report = Report("b1", True, kv_capacity_tokens=CAPACITY)
-    cell.take_report("e1", report, asked_s=1.2, now_s=1.2)
+    report = LoadReport("b1", True, kv_capacity_tokens=CAPACITY)
+    cell.apply_report("e1", report, asked_s=1.2, now_s=1.2)
     assert cell.schedule(now_s=1.3)[0].ticket.customer == "small"
 
 
@@ -278,18 +280,18 @@
     cell = make_cell()
     limit = {"waiting_limit_tokens": 100_000, "customer": "large"}
     for number in range(3):
-        cell.ask(make_ticket(number, 30_000, now_s=1.0, **limit), now_s=1.0)
+        cell.enqueue(make_ticket(number, 30_000, now_s=1.0, **limit), now_s=1.0)
     with pytest.raises(NotRun) as caught:
-        cell.ask(make_ticket(9, 30_000, now_s=1.0, **limit), now_s=1.0)
+        cell.enqueue(make_ticket(9, 30_000, now_s=1.0, **limit), now_s=1.0)
     assert caught.value.reason is Reason.CUSTOMER_LIMIT
-    cell.ask(make_ticket(10, 30_000, now_s=1.0, customer="small"), now_s=1.0)
+    cell.enqueue(make_ticket(10, 30_000, now_s=1.0, customer="small"), now_s=1.0)
 
 
 def test_a_request_that_can_not_finish_is_refused_at_once_with_when_to_come_back():
     cell = make_cell(prefill_tokens_per_s=10_000.0)
     late = make_ticket(1, 100_000, now_s=1.0, deadline_s=3.0)
     with pytest.raises(NotRun) as caught:
-        cell.ask(late, now_s=1.0)
+        cell.enqueue(late, now_s=1.0)
     assert caught.value.reason is Reason.OVERLOADED
     assert caught.value.retry_after_s > 0
 
@@ -302,24 +304,24 @@
     """
     cell = make_cell(warm_limit_requests=3, cold_limit_requests=3)
     for number in range(2):
-        cell.ask(make_ticket(number, now_s=1.0), now_s=1.0)
+        cell.enqueue(make_ticket(number, now_s=1.0), now_s=1.0)
     cell.schedule(now_s=1.0)
-    cell.drop_lost(now_s=20.0, ticket_s=3.0, permit_s=5.0)
+    cell.drop_expired(now_s=20.0, ticket_s=3.0, permit_s=5.0)
     assert (len(cell.permits), len(cell.lost_permits)) == (0, 2)
-    report = Report("b1", True, kv_capacity_tokens=CAPACITY)
-    cell.take_report("e1", report, asked_s=20.0, now_s=20.0)
+    report = LoadReport("b1", True, kv_capacity_tokens=CAPACITY)
+    cell.apply_report("e1", report, asked_s=20.0, now_s=20.0)
     assert cell.compute_loads(now_s=20.0)[0].slots == 1
-    cell.end_lost("e1", {"r0"})
+    cell.release_lost_permits("e1", {"r0"})
     assert cell.compute_loads(now_s=20.0)[0].slots == 2
 
 
 def test_prefix_affinity_is_given_up_where_it_costs_more_than_it_saves():
     cell = make_cell(2, prefill_tokens_per_s=10_000.0)
-    cell.ask(make_ticket(1, 2_000, now_s=1.0, prefix_key="k"), now_s=1.0)
+    cell.enqueue(make_ticket(1, 2_000, now_s=1.0, prefix_key="k"), now_s=1.0)
     first_replicas = cell.schedule(now_s=1.0)[0].replicas
-    cell.ask(make_ticket(2, 2_000, now_s=1.05, prefix_key="k"), now_s=1.05)
+    cell.enqueue(make_ticket(2, 2_000, now_s=1.05, prefix_key="k"), now_s=1.05)
     assert cell.schedule(now_s=1.05)[0].replicas == first_replicas
     for number in range(3, 5):
-        cell.ask(make_ticket(number, 4_000, now_s=1.05, prefix_key="k"), now_s=1.05)
+        cell.enqueue(make_ticket(number, 4_000, now_s=1.05, prefix_key="k"), now_s=1.05)
     replicas = {p.replicas for p in cell.schedule(now_s=1.05)}
     assert replicas != {first_replicas}
--- a/lycheetide/scheduling/tests/test_unsent.py
+++ b/lycheetide/scheduling/tests/test_unsent.py
@@ -11,7 +11,7 @@
 )
 
 from lycheetide.outcomes import NotRun
-from lycheetide.scheduling import Cell, Report
+from lycheetide.scheduling import Cell, LoadReport
 from lycheetide.scheduling.tests.test_cell import (
     CAPACITY,
     COLD_LIMIT,
@@ -22,7 +22,8 @@
 )
 
 PERMIT_USE_S = 2.0
-"""How long an entry node may use a permit: the default of ``Policy.permit_use_s``."""
+"""How long an entry node may use a permit: the default of
+``SchedulingPolicy.permit_use_s``."""
 
 
 class StalledEntryNodes(RuleBasedStateMachine):
@@ -58,7 +59,7 @@
             self.number += 1
             ticket = make_ticket(self.number, now_s=self.now_s)
             try:
-                self.cell.ask(ticket, now_s=self.now_s)
+                self.cell.enqueue(ticket, now_s=self.now_s)
             except NotRun:
                 continue
         self.unsent += self.cell.schedule(now_s=self.now_s)
@@ -76,7 +77,9 @@
     @precondition(lambda self: self.confirmations)
     @rule(position=st.integers(0, 20))
     def confirm_acceptance(self, position):
-        self.cell.note_met(*self.confirmations.pop(position % len(self.confirmations)))
+        self.cell.record_accepted_permit(
+            *self.confirmations.pop(position % len(self.confirmations))
+        )
 
     @precondition(lambda self: self.unsent)
     @rule()
@@ -94,11 +97,11 @@
     @rule()
     def report(self):
         self.now_s += 0.01
-        report = Report(
+        report = LoadReport(
             f"b{self.boot}", not self.is_cold, running=len(self.running),
             kv_capacity_tokens=CAPACITY, met=frozenset(),
         )  # fmt: skip
-        self.cell.take_report("e1", report, asked_s=self.now_s, now_s=self.now_s)
+        self.cell.apply_report("e1", report, asked_s=self.now_s, now_s=self.now_s)
 
     @rule()
     def list_accepted_requests(self):
@@ -109,7 +112,7 @@
     @rule(position=st.integers(0, 20))
     def read_accepted_requests(self, position):
         boot_id, met, asked_s = self.answers.pop(position % len(self.answers))
-        self.cell.take_met("e1", boot_id, met, asked_s=asked_s)
+        self.cell.record_accepted_requests("e1", boot_id, met, asked_s=asked_s)
 
     @precondition(lambda self: not self.is_cold)
     @rule()
@@ -145,7 +148,7 @@
 def grant(cell, count, *, now_s):
     """Submit ``count`` requests and return the permits that are granted."""
     for number in range(count):
-        cell.ask(make_ticket(f"{now_s}-{number}", now_s=now_s), now_s=now_s)
+        cell.enqueue(make_ticket(f"{now_s}-{number}", now_s=now_s), now_s=now_s)
     return cell.schedule(now_s=now_s)
 
 
@@ -153,8 +156,8 @@
     """A report is requested while the first permits are unused at their entry nodes."""
     cell = make_cell()
     assert len(grant(cell, 8, now_s=1.0)) == COLD_LIMIT - 1
-    report = Report("b1", True, kv_capacity_tokens=CAPACITY, met=frozenset())
-    cell.take_report("e1", report, asked_s=1.1, now_s=1.1)
+    report = LoadReport("b1", True, kv_capacity_tokens=CAPACITY, met=frozenset())
+    cell.apply_report("e1", report, asked_s=1.1, now_s=1.1)
     assert cell.schedule(now_s=1.1) == []
 
 
@@ -162,8 +165,8 @@
     """If owners required more than this confirmation, engines would be left idle."""
     cell = make_cell()
     first, _ = grant(cell, 8, now_s=1.0)
-    assert cell.find_unproved() == ["e1"]
-    cell.take_met("e1", "b1", {first.ticket.request_id}, asked_s=1.1)
+    assert cell.find_unconfirmed() == ["e1"]
+    cell.record_accepted_requests("e1", "b1", {first.ticket.request_id}, asked_s=1.1)
     assert len(cell.schedule(now_s=1.1)) == 1
 
 
@@ -171,8 +174,8 @@
     """Querying the engines instead would cost owners more than the prompts do."""
     cell = make_cell()
     first, _ = grant(cell, 8, now_s=1.0)
-    assert cell.is_short_of_proof(["e1"])
-    assert cell.note_met(first.permit_id, "e1", "b1")
+    assert cell.is_awaiting_confirmation(["e1"])
+    assert cell.record_accepted_permit(first.permit_id, "e1", "b1")
     assert len(cell.schedule(now_s=1.1)) == 1
 
 
@@ -184,8 +187,8 @@
     """
     cell = make_cell()
     grant(cell, 8, now_s=1.0)
-    report = Report("b1", True, kv_capacity_tokens=CAPACITY, met=frozenset())
-    cell.take_report("e1", report, asked_s=1.0 + PERMIT_USE_S + 0.1, now_s=3.2)
+    report = LoadReport("b1", True, kv_capacity_tokens=CAPACITY, met=frozenset())
+    cell.apply_report("e1", report, asked_s=1.0 + PERMIT_USE_S + 0.1, now_s=3.2)
     assert len(cell.schedule(now_s=3.2)) == COLD_LIMIT - 1
 
 
@@ -193,7 +196,9 @@
     """An engine has restarted, and answers before a load report showed the restart."""
     cell = make_cell()
     first, _ = grant(cell, 8, now_s=1.0)
-    known = cell.take_met("e1", "b2", {first.ticket.request_id}, asked_s=1.1)
+    known = cell.record_accepted_requests(
+        "e1", "b2", {first.ticket.request_id}, asked_s=1.1
+    )
     assert not known
-    assert not cell.note_met(first.permit_id, "e1", "b2")
+    assert not cell.record_accepted_permit(first.permit_id, "e1", "b2")
     assert cell.schedule(now_s=1.1) == []
--- a/lycheetide/upstreams/_engine.py
+++ b/lycheetide/upstreams/_engine.py
@@ -5,7 +5,7 @@
 import httpx
 import msgspec
 
-from lycheetide.scheduling import HeldMemory, Report
+from lycheetide.scheduling import HeldMemory, LoadReport
 from lycheetide.streams import parse_chunk
 from lycheetide.upstreams._client import raise_for_error, translate_errors
 from lycheetide.upstreams._errors import UpstreamBroke
@@ -88,7 +88,7 @@
     answer = await _get_json(http, f"{upstream.url}/load")
     known_fields = {field: answer[field] for field in _REPORT_FIELDS if field in answer}
     try:
-        return msgspec.convert(known_fields, Report)
+        return msgspec.convert(known_fields, LoadReport)
     except msgspec.ValidationError as error:
         raise UpstreamBroke(str(error)) from error
 
