--- a/lycheetide/node/_answer.py
+++ b/lycheetide/node/_answer_stream.py
@@ -3,7 +3,7 @@
 import anyio
 
 from lycheetide.metrics import get_log
-from lycheetide.node._leaving import CallerDisconnected
+from lycheetide.node._disconnects import CallerDisconnected
 from lycheetide.node._prompts import Token, serve_prompt, to_request_error
 from lycheetide.outcomes import Failed, Reason, RequestError
 
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -27,10 +27,10 @@
     make_key_reused_error,
     make_log_unavailable_error,
 )
-from lycheetide.node._booking_home import forward_to_issuer
+from lycheetide.node._booking_forwarding import forward_to_issuer
 from lycheetide.node._booking_keys import hash_call
+from lycheetide.node._lookups import CALL_TOKENS, STALE_PAUSE_S
 from lycheetide.node._permits import Wish, get_permit, give_back, may_send
-from lycheetide.node._services import CALL_TOKENS, STALE_PAUSE_S
 from lycheetide.node._state import BOOKING_STREAM, draw_id, read_clock
 from lycheetide.outcomes import (
     NotRun,
--- a/lycheetide/node/_door.py
+++ b/lycheetide/node/_caller_api.py
@@ -8,18 +8,18 @@
 from starlette.routing import Route
 
 from lycheetide.metrics import get_log
-from lycheetide.node._answer import start_answer
+from lycheetide.node._answer_stream import start_answer
 from lycheetide.node._booking_errors import refused_with_key
 from lycheetide.node._booking_keys import issue_key, read_key
 from lycheetide.node._bookings import serve_booking
-from lycheetide.node._leaving import (
+from lycheetide.node._disconnects import (
     CallerDisconnected,
     remember_disconnect,
     serve_while_connected,
 )
-from lycheetide.node._life import wait_for_stall_recovery
+from lycheetide.node._lifecycle import wait_for_stall_recovery
+from lycheetide.node._lookups import serve_lookup
 from lycheetide.node._prompts import Prompt, to_request_error
-from lycheetide.node._services import serve_lookup
 from lycheetide.node._state import STALL_RECOVERY_S, draw_id, read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
 from lycheetide.routing import (
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from lycheetide.node import _owner
+from lycheetide.node import _cell_owner
 from lycheetide.node._state import HeldPermit, draw_id, read_clock
 from lycheetide.outcomes import NotRun, Reason
 from lycheetide.peers import (
@@ -24,7 +24,7 @@
 
 ROUND_TRIP_MARGIN_S = 0.5
 CALL_TIMEOUT_S = 1.0
-ACQUIRE_TIMEOUT_S = _owner.LONG_POLL_S + ROUND_TRIP_MARGIN_S
+ACQUIRE_TIMEOUT_S = _cell_owner.LONG_POLL_S + ROUND_TRIP_MARGIN_S
 """An owner may hold the call for ``LONG_POLL_S``; the margin is for the round trip."""
 RETRY_DELAY_S = 0.05
 REFUSED_RETRY_DELAY_S = 0.5
@@ -230,11 +230,11 @@
 
 
 LOCAL_HANDLERS = {
-    "acquire": _owner.acquire,
-    "met": _owner.note_met,
-    "adopt": _owner.adopt,
-    "finish": _owner.finish,
-    "renew": _owner.renew,
+    "acquire": _cell_owner.acquire,
+    "met": _cell_owner.note_met,
+    "adopt": _cell_owner.adopt,
+    "finish": _cell_owner.finish,
+    "renew": _cell_owner.renew,
 }
 """Handlers of the owner's calls, used directly if this node is the owner."""
 
--- a/lycheetide/node/_watch.py
+++ b/lycheetide/node/_replica_monitor.py
@@ -5,7 +5,7 @@
 import anyio
 
 from lycheetide.metrics import get_log
-from lycheetide.node._owner import run_schedule
+from lycheetide.node._cell_owner import run_schedule
 from lycheetide.node._state import read_clock
 from lycheetide.scheduling import find_orphans
 from lycheetide.upstreams import (
--- a/lycheetide/node/_run.py
+++ b/lycheetide/node/_run.py
@@ -9,16 +9,13 @@
 from hypercorn.config import Config
 
 from lycheetide.metrics import get_log
-from lycheetide.node import _booking_peers, _owner
+from lycheetide.node import _booking_handlers, _cell_owner
 from lycheetide.node._bookings import has_pending_bookings
-from lycheetide.node._door import Door
-from lycheetide.node._life import keep_life
-from lycheetide.node._members import make_pull_handler, propose_views, pull_peers
-from lycheetide.node._operator import make_operator_app
-from lycheetide.node._owner import keep_cells, sync_cells
-from lycheetide.node._permits import renew_permits
-from lycheetide.node._state import NodeState, read_clock
-from lycheetide.node._tail import (
+from lycheetide.node._caller_api import Door
+from lycheetide.node._cell_owner import keep_cells, sync_cells
+from lycheetide.node._heartbeats import make_pull_handler, propose_views, pull_peers
+from lycheetide.node._lifecycle import keep_life
+from lycheetide.node._log_followers import (
     follow_booking_head,
     follow_config,
     follow_hosts,
@@ -27,7 +24,14 @@
     give_config,
     write_snapshots,
 )
-from lycheetide.node._watch import poll_reports, prove_replicas, reclaim_memory
+from lycheetide.node._operator_api import make_operator_app
+from lycheetide.node._permits import renew_permits
+from lycheetide.node._replica_monitor import (
+    poll_reports,
+    prove_replicas,
+    reclaim_memory,
+)
+from lycheetide.node._state import NodeState, read_clock
 from lycheetide.peers import make_server
 from lycheetide.tasks import GuardedTasks, keep_running, watch_standstill
 
@@ -129,15 +133,15 @@
 
     return {
         "pull": make_pull_handler(node),
-        "acquire": bind(_owner.acquire),
-        "met": bind(_owner.note_met),
-        "adopt": bind(_owner.adopt),
-        "renew": bind(_owner.renew),
-        "finish": bind(_owner.finish),
-        "hand_over": bind(_owner.hand_over),
+        "acquire": bind(_cell_owner.acquire),
+        "met": bind(_cell_owner.note_met),
+        "adopt": bind(_cell_owner.adopt),
+        "renew": bind(_cell_owner.renew),
+        "finish": bind(_cell_owner.finish),
+        "hand_over": bind(_cell_owner.hand_over),
         "fetch_config": give_config(node),
-        "query_booking": bind(_booking_peers.query_booking),
-        "run_booking": bind(_booking_peers.run_booking),
+        "query_booking": bind(_booking_handlers.query_booking),
+        "run_booking": bind(_booking_handlers.run_booking),
     }
 
 
@@ -217,4 +221,4 @@
 def _is_fetched(node, owned):
     """Return whether a relinquished cell was fetched or has been kept long enough."""
     at_s, _ = node.relinquished[owned.cell.name]
-    return read_clock() - at_s >= _owner.KEEP_RELINQUISHED_S
+    return read_clock() - at_s >= _cell_owner.KEEP_RELINQUISHED_S
