--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -34,7 +34,7 @@
     Membership,
     make_view_record,
 )
-from lycheetide.node._state import make_index
+from lycheetide.node._state import make_cell_index
 from lycheetide.peers import ConfigRequest, PeerClient, PullReply
 from lycheetide.peers._codec import encode, make_decoder
 from lycheetide.platformlog import LogClient
@@ -209,7 +209,9 @@
     assert held.version == 1
     return {
         "held_bytes": held_bytes,
-        "index_us": measure_cpu_us(lambda: make_index(state.fleet, "r-0"), repeats),
+        "index_us": measure_cpu_us(
+            lambda: make_cell_index(state.fleet, "r-0"), repeats
+        ),
         "fold_us": measure_cpu_us(lambda: fold(state, 1, change), repeats),
         "record_bytes": len(encode(change)),
     }
--- a/lycheetide/cli/_node.py
+++ b/lycheetide/cli/_node.py
@@ -52,12 +52,12 @@
 
 def _run_engine_node(settings):
     """Run a node in front of the product's own engines."""
-    from lycheetide.node import CannotListen, run_node
+    from lycheetide.node import ListenError, run_node
 
     configure_logging(level=settings.log_level, node=settings.name)
     try:
         anyio.run(run_node, settings)
-    except* CannotListen as group:
+    except* ListenError as group:
         for error in group.exceptions:
             print(error, file=sys.stderr)
         raise SystemExit(EXIT_INVALID) from None
--- a/lycheetide/node/__init__.py
+++ b/lycheetide/node/__init__.py
@@ -1,5 +1,5 @@
 """The server process that each entry host runs."""
 
-from lycheetide.node._run import CannotListen, run_node
+from lycheetide.node._run import ListenError, run_node
 
-__all__ = ["CannotListen", "run_node"]
+__all__ = ["ListenError", "run_node"]
--- a/lycheetide/node/_booking_errors.py
+++ b/lycheetide/node/_booking_errors.py
@@ -30,7 +30,7 @@
     )
 
 
-def refused_with_key(refusal):
+def make_refused_key_error(refusal):
     """Return the error for a request that is refused before its key is looked up.
 
     The request may be a retry whose first attempt ran through another node. "Not run"
--- a/lycheetide/node/_booking_handlers.py
+++ b/lycheetide/node/_booking_handlers.py
@@ -1,7 +1,10 @@
 """Handle calls of other nodes that query or forward bookings."""
 
 from lycheetide.bookings import parse_key
-from lycheetide.node._booking_errors import make_holder_lost_error, refused_with_key
+from lycheetide.node._booking_errors import (
+    make_holder_lost_error,
+    make_refused_key_error,
+)
 from lycheetide.node._bookings import serve_booking
 from lycheetide.node._state import read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
@@ -56,7 +59,7 @@
             "this node's configuration lacks the operation, customer or request class",
             retry_after_s=1.0,
         )
-        return make_error_reply(refused_with_key(error))
+        return make_error_reply(make_refused_key_error(error))
     now_s = read_clock()
     admitted = Admitted(
         request.request_id, customer, request_class, now_s,
--- a/lycheetide/node/_booking_keys.py
+++ b/lycheetide/node/_booking_keys.py
@@ -34,7 +34,7 @@
         If this node has already issued ``MAX_HOME_KEYS`` home keys, all of which it
         has to remember.
     """
-    is_log_reachable = now_s - node.log_asked_s <= node.settings.lease_s
+    is_log_reachable = now_s - node.log_read_started_s <= node.settings.lease_s
     mode = KeyMode.CLAIMED if is_log_reachable else KeyMode.HOME
     if mode is KeyMode.HOME:
         if node.issued_home_keys >= MAX_HOME_KEYS:
@@ -53,7 +53,7 @@
     )
 
 
-def read_key(text, customer):
+def validate_key(text, customer):
     """Parse a caller's key and check that it was issued to this customer.
 
     Raises
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -29,9 +29,14 @@
 )
 from lycheetide.node._booking_forwarding import forward_to_issuer
 from lycheetide.node._booking_keys import hash_call
-from lycheetide.node._lookups import CALL_TOKENS, STALE_PAUSE_S
-from lycheetide.node._permits import Wish, get_permit, give_back, may_send
-from lycheetide.node._state import BOOKING_STREAM, draw_id, read_clock
+from lycheetide.node._lookups import CALL_TOKENS, STALE_PERMIT_DELAY_S
+from lycheetide.node._permits import (
+    PermitSpec,
+    acquire_permit,
+    is_permit_usable,
+    release_permit,
+)
+from lycheetide.node._state import BOOKING_STREAM, generate_id, read_clock
 from lycheetide.outcomes import (
     NotRun,
     OutcomeUnknown,
@@ -163,7 +168,7 @@
 
 def _start_run(node, admitted, operation, body, key, body_hash):
     """Start the run of a key in a task that outlives its callers."""
-    claim = Claim(draw_id(), key.text, node.own_id, body_hash)
+    claim = Claim(generate_id(), key.text, node.own_id, body_hash)
     run = BookingRun(key, body_hash, admitted, claim)
     node.bookings[key.text] = run
     node.tasks.start_soon(_run, node, run, operation, body)
@@ -376,19 +381,19 @@
     avoid: list[str] = []
     attempts = 0
     while True:
-        wish = Wish(
+        spec = PermitSpec(
             run.admitted, operation.service, CALL_TOKENS, CALL_TOKENS,
             avoid=tuple(avoid),
         )  # fmt: skip
         with anyio.CancelScope(deadline=run.admitted.deadline_s) as scope:
-            held, asked_s = await get_permit(node, wish)
+            held, asked_s = await acquire_permit(node, spec)
         if scope.cancelled_caught:
             _check_not_abandoned(run)
         try:
-            if not may_send(node, held, asked_s):
+            if not is_permit_usable(node, held, asked_s):
                 node.counters.add_retry(RetryReason.PERMIT_STALE)
-                give_back(node, held)
-                await anyio.sleep(STALE_PAUSE_S)
+                release_permit(node, held)
+                await anyio.sleep(STALE_PERMIT_DELAY_S)
                 continue
             # There is no await between this check and sending, so no caller can be told
             # "not run" in between.
@@ -400,7 +405,7 @@
             avoid.extend(held.permit.replicas)
             _handle_upstream_error(node, run, error, attempts)
         finally:
-            give_back(node, held)
+            release_permit(node, held)
 
 
 async def _send(node, run, held, operation, body, fencing_number):
--- a/lycheetide/node/_caller_api.py
+++ b/lycheetide/node/_caller_api.py
@@ -9,8 +9,8 @@
 
 from lycheetide.metrics import get_log
 from lycheetide.node._answer_stream import start_answer
-from lycheetide.node._booking_errors import refused_with_key
-from lycheetide.node._booking_keys import issue_key, read_key
+from lycheetide.node._booking_errors import make_refused_key_error
+from lycheetide.node._booking_keys import issue_key, validate_key
 from lycheetide.node._bookings import serve_booking
 from lycheetide.node._disconnects import (
     CallerDisconnected,
@@ -20,7 +20,7 @@
 from lycheetide.node._lifecycle import wait_for_stall_recovery
 from lycheetide.node._lookups import serve_lookup
 from lycheetide.node._prompts import Prompt, to_request_error
-from lycheetide.node._state import STALL_RECOVERY_S, draw_id, read_clock
+from lycheetide.node._state import STALL_RECOVERY_S, generate_id, read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
 from lycheetide.routing import (
     Admitted,
@@ -84,7 +84,7 @@
     if not node.has_state_flag("accepting"):
         raise NotRun(
             Reason.NOT_READY,
-            f"this node accepts no requests (state {node.life})",
+            f"this node accepts no requests (state {node.lifecycle_state})",
             retry_after_s=1.0,
         )
     headers = request.headers
@@ -176,7 +176,7 @@
     return described
 
 
-class Door:
+class CallerApi:
     """The HTTP routes that one node serves to callers.
 
     Parameters
@@ -212,7 +212,7 @@
     async def get_readiness(self, request):
         """Readiness probe: tell the load balancer whether to route callers here."""
         ready = self.node.has_state_flag("ready")
-        return JSONResponse({"state": self.node.life}, 200 if ready else 503)
+        return JSONResponse({"state": self.node.lifecycle_state}, 200 if ready else 503)
 
     async def _run_handler(self, request, serve):
         """Run the handler of one request and turn any exception into a response.
@@ -220,7 +220,7 @@
         ``serve`` returns the response and whether the request stays active after it,
         as a streamed one does until its stream has ended.
         """
-        request_id = draw_id()
+        request_id = generate_id()
         node = self.node
         node.counters.add("requests")
         node.active[request_id] = read_clock()
@@ -281,7 +281,7 @@
         except NotRun as refusal:
             if not request.headers.get("idempotency-key"):
                 raise
-            raise refused_with_key(refusal) from None
+            raise make_refused_key_error(refusal) from None
         params = request.path_params
         name = f"{params['service']}/{params['operation']}"
         operation = node.fleet.operations.get(name)
@@ -299,7 +299,7 @@
         async def serve():
             if operation.idempotent:
                 return await serve_lookup(node, admitted, operation, body)
-            key = read_key(
+            key = validate_key(
                 request.headers.get("idempotency-key", ""), admitted.customer
             )
             return await serve_booking(node, admitted, operation, body, key)
--- a/lycheetide/node/_cell_owner.py
+++ b/lycheetide/node/_cell_owner.py
@@ -28,7 +28,7 @@
 SCHEDULE_INTERVAL_S = 0.05
 HAND_OVER_TIMEOUT_S = 1.0
 HAND_OVER_RETRY_DELAY_S = 0.1
-KEEP_RELINQUISHED_S = 60.0
+HAND_OVER_EXPIRY_S = 60.0
 
 log = get_log("owner")
 
@@ -49,7 +49,7 @@
     granted : dict of str to Permit
         By ticket id, so that an entry node that lost the reply to ``acquire`` gets the
         same permit when it asks again.
-    earlier : dict of str to Member
+    earlier_owners : dict of str to Member
         Earlier owners that may still grant permits, by member id.
     settled_since_s : float or None
         Time from which on no permit of theirs can be unused and still valid.
@@ -65,7 +65,7 @@
     view_number: int
     waiters: dict = field(default_factory=dict)
     granted: dict = field(default_factory=dict)
-    earlier: dict = field(default_factory=dict)
+    earlier_owners: dict = field(default_factory=dict)
     settled_since_s: float | None = None
     orphans_first_seen: dict[str, Any] = field(default_factory=dict)
     probe_sent_s: dict[str, float] = field(default_factory=dict)
@@ -97,10 +97,10 @@
     policy = SchedulingPolicy(permit_use_s=node.settings.permit_use_s)
     cell = Cell(name, owner_id=f"{node.own_id}@{view.number}", policy=policy)
     owned = OwnedCell(cell, view.number)
-    owned.earlier = dict(node.membership.find_earlier_owners(name))
+    owned.earlier_owners = dict(node.membership.find_earlier_owners(name))
     node.cells[name] = owned
-    node.relinquished.pop(name, None)
-    if not owned.earlier:
+    node.relinquished_cells.pop(name, None)
+    if not owned.earlier_owners:
         owned.settled_since_s = read_clock()
     node.counters.add("cells.taken")
     log.info("This node now owns a cell.", extra={"cell": name, "view": view.number})
@@ -111,7 +111,7 @@
     """Stop granting permits for a cell, and keep its state for the next owner."""
     owned = node.cells.pop(name)
     owned.is_relinquished = True
-    node.relinquished[name] = (now_s, owned)
+    node.relinquished_cells[name] = (now_s, owned)
     for waiter in owned.waiters.values():
         waiter.set()
     node.counters.add("cells.given_up")
@@ -120,15 +120,15 @@
 
 async def _take_over(node, owned):
     """Ask earlier owners for the cell's state until none of them can grant permits."""
-    while owned.earlier and not owned.is_relinquished:
-        for member_id, member in list(owned.earlier.items()):
+    while owned.earlier_owners and not owned.is_relinquished:
+        for member_id, member in list(owned.earlier_owners.items()):
             await _request_hand_over(node, owned, member_id, member)
-        if owned.earlier and node.membership.is_settled():
+        if owned.earlier_owners and node.membership.is_settled():
             # No earlier owner grants permits any more. Wait until the last permit that
             # one may have granted has been used or has expired.
             await anyio.sleep(node.settings.permit_use_s)
-            owned.earlier.clear()
-        if owned.earlier:
+            owned.earlier_owners.clear()
+        if owned.earlier_owners:
             await anyio.sleep(HAND_OVER_RETRY_DELAY_S)
     if owned.settled_since_s is None:
         owned.settled_since_s = read_clock()
@@ -138,7 +138,7 @@
 async def _request_hand_over(node, owned, member_id, member):
     """Ask one earlier owner to hand over the cell's permits."""
     if member == node.own:
-        del owned.earlier[member_id]
+        del owned.earlier_owners[member_id]
         return
     request = HandOverRequest(member_id, owned.cell.name, owned.view_number)
     try:
@@ -158,7 +158,7 @@
         permits = [_to_local_clock(permit, clock_offset_s) for permit in reply.permits]
         owned.cell.adopt(permits, now_s=read_clock())
         node.counters.add("cells.handed_over")
-    owned.earlier.pop(member_id, None)
+    owned.earlier_owners.pop(member_id, None)
 
 
 def _to_local_clock(permit, clock_offset_s):
@@ -187,7 +187,7 @@
     now_s = read_clock()
     if owned.is_relinquished or not holds_lease(node, now_s):
         return
-    owned.cell.is_settled = not owned.earlier
+    owned.cell.is_settled = not owned.earlier_owners
     for permit in owned.cell.schedule(now_s=now_s):
         ticket_id = permit.ticket.ticket_id
         owned.granted[ticket_id] = permit
@@ -241,7 +241,7 @@
     )
 
 
-async def note_met(node, request):
+async def record_acceptance(node, request):
     """Handle an entry node's report that an upstream has accepted a request.
 
     Only a few requests may be granted to a replica ahead of such a confirmation, so
@@ -339,11 +339,11 @@
         return HandOverReply(HandOverStatus.NOT_YET)
     if request.cell in node.cells:
         return HandOverReply(HandOverStatus.NOT_YET)
-    entry = node.relinquished.pop(request.cell, None)
+    entry = node.relinquished_cells.pop(request.cell, None)
     now_s = read_clock()
     if entry is None:
         return HandOverReply(HandOverStatus.GIVEN, now_s=now_s)
-    node.relinquished[request.cell] = (now_s - KEEP_RELINQUISHED_S, entry[1])
+    node.relinquished_cells[request.cell] = (now_s - HAND_OVER_EXPIRY_S, entry[1])
     permits = tuple(entry[1].cell.permits.values())
     return HandOverReply(HandOverStatus.GIVEN, permits, now_s)
 
--- a/lycheetide/node/_heartbeats.py
+++ b/lycheetide/node/_heartbeats.py
@@ -6,7 +6,7 @@
 
 from lycheetide.membership import make_view_record
 from lycheetide.metrics import get_log
-from lycheetide.node._state import draw_id, read_clock
+from lycheetide.node._state import generate_id, read_clock
 from lycheetide.peers import PeerUnreached, PullReply, PullRequest
 from lycheetide.platformlog import LogUnavailable
 
@@ -27,7 +27,7 @@
     cells = [owned.cell.summarize(now_s=now_s) for owned in node.cells.values()]
     return tuple(
         node.membership.make_rows(
-            state=node.life,
+            state=node.lifecycle_state,
             config_version=node.config.version,
             cells=cells,
             now_s=now_s,
@@ -117,7 +117,7 @@
     while True:
         await anyio.sleep(PROPOSE_INTERVAL_S)
         now_s = read_clock()
-        if now_s - node.log_asked_s > DEPOSE_LOG_AGE_S:
+        if now_s - node.log_read_started_s > DEPOSE_LOG_AGE_S:
             node.membership.depose_silent(
                 now_s=now_s, silent_s=node.settings.suspect_s + DEPOSE_EXTRA_SILENCE_S
             )
@@ -126,10 +126,14 @@
         if node.membership.failover.out != out:
             on_change()
         view = node.membership.view
-        members = node.membership.propose(node.hosts, own_state=node.life, now_s=now_s)
+        members = node.membership.propose(
+            node.hosts, own_state=node.lifecycle_state, now_s=now_s
+        )
         if members is None:
             continue
-        record = make_view_record(draw_id(), base_number=view.number, members=members)
+        record = make_view_record(
+            generate_id(), base_number=view.number, members=members
+        )
         try:
             await node.log.append(node.view_stream, [record])
             node.counters.add("views.proposed")
--- a/lycheetide/node/_lifecycle.py
+++ b/lycheetide/node/_lifecycle.py
@@ -24,12 +24,12 @@
     log.info(
         "The node's state changed.",
         extra={
-            "state": node.life,
-            "log_age_ms": round((now_s - node.log_asked_s) * 1e3),
+            "state": node.lifecycle_state,
+            "log_age_ms": round((now_s - node.log_read_started_s) * 1e3),
             "is_majority_heard": node.membership.is_majority_heard(now_s=now_s),
         },
     )
-    node.counters.add(f"node.{node.life}")
+    node.counters.add(f"node.{node.lifecycle_state}")
 
 
 async def keep_life(node):
--- a/lycheetide/node/_log_followers.py
+++ b/lycheetide/node/_log_followers.py
@@ -61,7 +61,7 @@
             await anyio.sleep(RETRY_DELAY_S)
             continue
         _fold_batch(node, state, batch, on_change)
-        node.log_asked_s = max(node.log_asked_s, asked_s)
+        node.log_read_started_s = max(node.log_read_started_s, asked_s)
         on_change()
 
 
@@ -102,7 +102,7 @@
 
 def _record_new_version(node):
     """Log and count a new configuration version, and set ``config_changed``."""
-    node.config_since_s = read_clock()
+    node.config_changed_s = read_clock()
     node.counters.add("config.changed")
     config_log.info(
         "A configuration is in force.", extra={"version": node.config.version}
@@ -141,7 +141,7 @@
             on_change()
 
 
-def give_config(node):
+def make_config_handler(node):
     """Return the handler that sends this node's configuration to a peer."""
 
     async def fetch_config(request):
--- a/lycheetide/node/_lookups.py
+++ b/lycheetide/node/_lookups.py
@@ -5,13 +5,18 @@
 
 import anyio
 
-from lycheetide.node._permits import Wish, get_permit, give_back, may_send
+from lycheetide.node._permits import (
+    PermitSpec,
+    acquire_permit,
+    is_permit_usable,
+    release_permit,
+)
 from lycheetide.node._successors import (
-    decide_next,
+    acquire_successor,
+    decide_next_attempt,
     find_retry_reason,
-    give_back_successor,
-    seek_successor,
-    take_successor,
+    pop_successor,
+    release_successor,
 )
 from lycheetide.outcomes import Failed, NotRun, Reason, RetryReason
 from lycheetide.routing import RetryDecision
@@ -26,7 +31,7 @@
 
 RETRY_AFTER_S = 1.0
 CALL_TOKENS = 1
-STALE_PAUSE_S = 0.05
+STALE_PERMIT_DELAY_S = 0.05
 
 
 @dataclass
@@ -41,21 +46,21 @@
         The operation to call.
     body : bytes
         Body of the request.
-    ever_started : bool
+    may_have_started : bool
         Whether any upstream may have started the call.
     attempts : int
         Number of failed attempts.
     avoid : list of str
         Replicas on which an attempt failed other than by a refusal.
     successor : (HeldPermit, float) or None
-        The permit for the next attempt, as ``get_permit`` returns it, if the current
-        attempt was cancelled in favour of that one.
+        The permit for the next attempt, as ``acquire_permit`` returns it, if the
+        current attempt was cancelled in favour of that one.
     """
 
     admitted: Any
     operation: Any
     body: bytes
-    ever_started: bool = False
+    may_have_started: bool = False
     attempts: int = 0
     avoid: list[str] = field(default_factory=list)
     successor: Any = None
@@ -90,14 +95,14 @@
         try:
             return await _attempt_until_done(node, run)
         except NotRun as error:
-            if not run.ever_started:
+            if not run.may_have_started:
                 raise
             raise Failed(
                 error.reason, error.message, retry_after_s=error.retry_after_s
             ) from error
         finally:
-            give_back_successor(node, run)
-    error_type = Failed if run.ever_started else NotRun
+            release_successor(node, run)
+    error_type = Failed if run.may_have_started else NotRun
     raise error_type(
         Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
     )
@@ -106,21 +111,23 @@
 async def _attempt_until_done(node, run):
     """Send the call until an attempt is answered or no retry is allowed."""
     while True:
-        held, asked_s = take_successor(run) or await get_permit(node, _make_wish(run))
+        held, asked_s = pop_successor(run) or await acquire_permit(
+            node, _make_permit_spec(run)
+        )
         replicas = held.permit.replicas
         broken = ()
         try:
-            if not may_send(node, held, asked_s):
+            if not is_permit_usable(node, held, asked_s):
                 node.counters.add_retry(RetryReason.PERMIT_STALE)
-                give_back(node, held)
-                await anyio.sleep(STALE_PAUSE_S)
+                release_permit(node, held)
+                await anyio.sleep(STALE_PERMIT_DELAY_S)
                 continue
-            was_started = run.ever_started
-            run.ever_started = True
+            was_started = run.may_have_started
+            run.may_have_started = True
             try:
                 return await _send(node, run, replicas)
             except UpstreamError as error:
-                run.ever_started = was_started or error.started_maybe
+                run.may_have_started = was_started or error.started_maybe
                 raise
         except UpstreamError as error:
             run.attempts += 1
@@ -129,12 +136,12 @@
                 run.avoid.extend(replicas)
             _check_retry(node, run, error)
         finally:
-            give_back(node, held, broken=broken)
+            release_permit(node, held, broken=broken)
 
 
-def _make_wish(run):
+def _make_permit_spec(run):
     """Return the request for the permit of the next attempt."""
-    return Wish(
+    return PermitSpec(
         run.admitted,
         run.operation.service,
         CALL_TOKENS,
@@ -156,8 +163,8 @@
         return answer
 
     async def seek():
-        run.successor = await seek_successor(
-            node, _make_wish(run), replicas, silence, attempts=run.attempts + 1
+        run.successor = await acquire_successor(
+            node, _make_permit_spec(run), replicas, silence, attempts=run.attempts + 1
         )
 
     return await run_watched(work, silence, seek)
@@ -165,10 +172,10 @@
 
 def _check_retry(node, run, error):
     """Raise the error for the caller unless another attempt is allowed."""
-    if decide_next(node, run, error) is RetryDecision.RETRY:
+    if decide_next_attempt(node, run, error) is RetryDecision.RETRY:
         node.counters.add_retry(find_retry_reason(error))
         return
-    error_type = Failed if run.ever_started else NotRun
+    error_type = Failed if run.may_have_started else NotRun
     raise error_type(
         Reason.UPSTREAM_BROKE, str(error), retry_after_s=RETRY_AFTER_S, status=502
     ) from error
--- a/lycheetide/node/_operator_api.py
+++ b/lycheetide/node/_operator_api.py
@@ -24,7 +24,7 @@
     async def config(request):
         body = {
             "version": node.config.version,
-            "since_s": round(read_clock() - node.config_since_s, 3),
+            "since_s": round(read_clock() - node.config_changed_s, 3),
             "snapshot": make_snapshot_record(node.config),
         }
         return JSONResponse(body)
@@ -36,7 +36,7 @@
         return JSONResponse(asdict(found))
 
     async def explain(request):
-        steps = node.explanations.find(request.path_params["request_id"])
+        steps = node.request_traces.find(request.path_params["request_id"])
         if not steps:
             return JSONResponse({"error": "this node has no steps of the request"}, 404)
         first_s = steps[0].at_s
@@ -63,11 +63,11 @@
     return {
         "node": node.own_id,
         "version": __version__,
-        "state": node.life,
+        "state": node.lifecycle_state,
         "region": node.settings.region,
         "failure_domain": node.own.failure_domain,
         "fresh": node.is_fresh(now_s=now_s),
-        "log_age_s": round(now_s - node.log_asked_s, 3),
+        "log_age_s": round(now_s - node.log_read_started_s, 3),
         "config_version": node.config.version,
         "view": membership.view.number,
         "settled_view": membership.settled_number,
@@ -89,7 +89,7 @@
     cell = owned.cell
     return {
         "cell": cell.name,
-        "settled": not owned.earlier,
+        "settled": not owned.earlier_owners,
         "waiting": len(cell.tickets),
         "permits": len(cell.permits),
         "lost_permits": len(cell.lost_permits),
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -8,7 +8,7 @@
 import anyio
 
 from lycheetide.node import _cell_owner
-from lycheetide.node._state import HeldPermit, draw_id, read_clock
+from lycheetide.node._state import HeldPermit, generate_id, read_clock
 from lycheetide.outcomes import NotRun, Reason
 from lycheetide.peers import (
     AcquireRequest,
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class PermitSpec:
     """Description of the permit that a request needs.
 
     Parameters
@@ -74,7 +74,7 @@
     return summaries
 
 
-async def get_permit(node, spec):
+async def acquire_permit(node, spec):
     """Acquire a permit; keep asking until one is granted or all owners refuse.
 
     A refusal would cut off an answer that has begun, and its caller could not resume
@@ -84,13 +84,13 @@
     ----------
     node : NodeState
         This node.
-    spec : Wish
+    spec : PermitSpec
         The permit that is needed.
 
     Returns
     -------
     permit : HeldPermit
-        The permit, registered for renewal; end it with ``give_back``.
+        The permit, registered for renewal; end it with ``release_permit``.
     asked_s : float
         When the call that brought it was sent. The permit expires a short time after
         that unless it is used.
@@ -118,7 +118,7 @@
         raise NotRun(
             Reason.NO_CAPACITY, f"no replica serves {spec.serves}", retry_after_s=5.0
         )
-    ticket_ids = {cell: f"{draw_id()}@{cell}" for cell in cells}
+    ticket_ids = {cell: f"{generate_id()}@{cell}" for cell in cells}
     refusals: dict[str, NotRun] = {}
     started_s = read_clock()
     for turn in itertools.count():
@@ -231,7 +231,7 @@
 
 LOCAL_HANDLERS = {
     "acquire": _cell_owner.acquire,
-    "met": _cell_owner.note_met,
+    "met": _cell_owner.record_acceptance,
     "adopt": _cell_owner.adopt,
     "finish": _cell_owner.finish,
     "renew": _cell_owner.renew,
@@ -285,7 +285,7 @@
     return held
 
 
-def may_send(node, held, asked_s):
+def is_permit_usable(node, held, asked_s):
     """Check, right before dispatch, whether a permit may still be used.
 
     False if it may not be used now but another one may be acquired; ``NotRun`` is
@@ -316,7 +316,7 @@
         node.tasks.start_soon(_tell_owner, node, "met", request)
 
 
-def give_back(node, held, *, broken=()):
+def release_permit(node, held, *, broken=()):
     """End a permit.
 
     The call to the owner runs in the background. If it is lost, the owner ends the
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -9,19 +9,19 @@
 from lycheetide.charts import load_chart
 from lycheetide.metrics import get_log
 from lycheetide.node._permits import (
-    Wish,
-    get_permit,
-    give_back,
-    may_send,
+    PermitSpec,
+    acquire_permit,
+    is_permit_usable,
+    release_permit,
     report_acceptance,
 )
-from lycheetide.node._state import draw_id
+from lycheetide.node._state import generate_id
 from lycheetide.node._successors import (
-    decide_next,
+    acquire_successor,
+    decide_next_attempt,
     find_retry_reason,
-    give_back_successor,
-    seek_successor,
-    take_successor,
+    pop_successor,
+    release_successor,
 )
 from lycheetide.outcomes import (
     Failed,
@@ -53,7 +53,7 @@
 
 CHART = load_chart("request")
 RETRY_AFTER_S = 1.0
-STALE_PAUSE_S = 0.05
+STALE_PERMIT_DELAY_S = 0.05
 PREFILL_TIMEOUT_FACTOR = 4.0
 """Limit on the time to first token, as a multiple of the expected prefill time.
 
@@ -84,7 +84,7 @@
         The prompt.
     lifecycle_state : str
         State in the request chart (``charts/request.toml``).
-    ever_started : bool
+    may_have_started : bool
         Whether any upstream may have started to execute the request.
     check : StreamCheck
         Sequence check of the answer, which holds the next expected token.
@@ -95,14 +95,14 @@
     silence : Silence
         Silence timer of the current attempt's upstreams.
     successor : (HeldPermit, float) or None
-        Permit for the next attempt, as ``get_permit`` returns it, if the current
+        Permit for the next attempt, as ``acquire_permit`` returns it, if the current
         attempt was ended in favour of that one.
     """
 
     admitted: Any
     prompt: Prompt
     lifecycle_state: str = CHART.initial
-    ever_started: bool = False
+    may_have_started: bool = False
     check: StreamCheck = field(default_factory=lambda: StreamCheck(""))
     attempts: int = 0
     avoid: list[str] = field(default_factory=list)
@@ -148,14 +148,14 @@
             try:
                 await _attempt_until_done(node, run, emit)
             finally:
-                give_back_successor(node, run)
+                release_successor(node, run)
         if scope.cancelled_caught:
             raise NotRun(
                 Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
             )
     except NotRun as error:
         run.step("gave_up")
-        if not run.ever_started:
+        if not run.may_have_started:
             raise
         raise Failed(
             error.reason, error.message, retry_after_s=error.retry_after_s
@@ -166,18 +166,18 @@
 async def _attempt_until_done(node, run, emit):
     """Make attempts until one delivers the rest of the answer."""
     while True:
-        held, asked_s = take_successor(run) or await get_permit(
+        held, asked_s = pop_successor(run) or await acquire_permit(
             node, _make_permit_spec(run)
         )
         run.step("granted")
         replicas = held.permit.replicas
         broken = ()
         try:
-            if not may_send(node, held, asked_s):
+            if not is_permit_usable(node, held, asked_s):
                 run.step("permit_stale")
                 node.counters.add_retry(RetryReason.PERMIT_STALE)
-                give_back(node, held)
-                await anyio.sleep(STALE_PAUSE_S)
+                release_permit(node, held)
+                await anyio.sleep(STALE_PERMIT_DELAY_S)
                 continue
             await _send_until_replaced(node, run, held, emit)
             return
@@ -186,14 +186,14 @@
                 broken = replicas
             _prepare_retry(node, run, replicas, error)
         finally:
-            give_back(node, held, broken=broken)
+            release_permit(node, held, broken=broken)
 
 
 def _make_permit_spec(run):
     """Return the description of the permit that the next attempt needs."""
     prompt = run.prompt
     admitted = run.admitted
-    return Wish(
+    return PermitSpec(
         admitted=admitted,
         serves=prompt.model,
         prompt_tokens=count_tokens(prompt.text),
@@ -206,16 +206,16 @@
 
 def _prepare_retry(node, run, replicas, error):
     """Prepare another attempt after ``error``, or raise if none is allowed."""
-    run.ever_started = run.ever_started or error.started_maybe
+    run.may_have_started = run.may_have_started or error.started_maybe
     run.attempts += 1
-    decision = decide_next(node, run, error)
+    decision = decide_next_attempt(node, run, error)
     reason = find_retry_reason(error)
     node.note(
         run.admitted.request_id, "An attempt ended with an upstream error.",
         reason=reason, cause=str(error), decision=decision, replicas=list(replicas),
     )  # fmt: skip
     if decision is RetryDecision.GIVE_UP:
-        error_type = Failed if run.ever_started else NotRun
+        error_type = Failed if run.may_have_started else NotRun
         raise error_type(
             _find_reason(error), str(error), retry_after_s=RETRY_AFTER_S, status=502
         ) from error
@@ -240,7 +240,7 @@
     run.silence = Silence()
 
     async def seek():
-        run.successor = await seek_successor(
+        run.successor = await acquire_successor(
             node, _make_permit_spec(run), held.permit.replicas, run.silence,
             attempts=run.attempts + 1,
         )  # fmt: skip
@@ -255,7 +255,7 @@
     """
     permit = held.permit
     upstreams = [node.fleet.upstreams[name] for name in permit.replicas]
-    attempt_id = draw_id()
+    attempt_id = generate_id()
     run.check = StreamCheck(attempt_id, run.check.next_seq)
     holdings: list[tuple[Any, str]] = []
     try:
@@ -348,7 +348,7 @@
 
     if CHART.has(run.lifecycle_state, "unsent"):
         run.step("dispatched")
-    run.ever_started = True
+    run.may_have_started = True
     async with anyio.create_task_group() as group:
         for index in range(len(handles)):
             group.start_soon(read, index)
@@ -409,10 +409,10 @@
     except UpstreamUnreached:
         raise
     except UpstreamError as error:
-        run.ever_started = run.ever_started or error.started_maybe
+        run.may_have_started = run.may_have_started or error.started_maybe
         raise
     except BaseException:
-        run.ever_started = True
+        run.may_have_started = True
         raise
     if not whole:
         raise UpstreamBroke("the answer ended without an end marker")
--- a/lycheetide/node/_run.py
+++ b/lycheetide/node/_run.py
@@ -11,7 +11,7 @@
 from lycheetide.metrics import get_log
 from lycheetide.node import _booking_handlers, _cell_owner
 from lycheetide.node._bookings import has_pending_bookings
-from lycheetide.node._caller_api import Door
+from lycheetide.node._caller_api import CallerApi
 from lycheetide.node._cell_owner import keep_cells, sync_cells
 from lycheetide.node._heartbeats import make_pull_handler, propose_views, pull_peers
 from lycheetide.node._lifecycle import keep_life
@@ -21,7 +21,7 @@
     follow_hosts,
     follow_peers_config,
     follow_views,
-    give_config,
+    make_config_handler,
     write_snapshots,
 )
 from lycheetide.node._operator_api import make_operator_app
@@ -52,7 +52,7 @@
 log = get_log("node")
 
 
-class CannotListen(Exception):
+class ListenError(Exception):
     """An address from the settings cannot be listened on."""
 
 
@@ -62,7 +62,7 @@
     Raises
     ------
     ExceptionGroup
-        With one ``CannotListen`` for each address that is not free.
+        With one ``ListenError`` for each address that is not free.
     """
     errors = []
     for key in ("caller_address", "peer_address", "operator_address"):
@@ -74,7 +74,7 @@
             try:
                 probe.bind((host.strip("[]"), int(port)))
             except OSError as error:
-                errors.append(CannotListen(f"[listen] {key} = {address}: {error}"))
+                errors.append(ListenError(f"[listen] {key} = {address}: {error}"))
     if errors:
         raise ExceptionGroup("cannot listen on all configured addresses", errors)
 
@@ -103,7 +103,7 @@
         for part in INDEPENDENT_TASKS:
             group.start_soon(keep_running, node, part)
         group.start_soon(node.booking_writer.run)
-        group.start_soon(_serve_http, settings, Door(node).make_app(),
+        group.start_soon(_serve_http, settings, CallerApi(node).make_app(),
                          settings.caller_address, stopped, True)  # fmt: skip
         group.start_soon(_serve_http, settings, make_operator_app(node),
                          settings.operator_address, stopped, False)  # fmt: skip
@@ -134,12 +134,12 @@
     return {
         "pull": make_pull_handler(node),
         "acquire": bind(_cell_owner.acquire),
-        "met": bind(_cell_owner.note_met),
+        "met": bind(_cell_owner.record_acceptance),
         "adopt": bind(_cell_owner.adopt),
         "renew": bind(_cell_owner.renew),
         "finish": bind(_cell_owner.finish),
         "hand_over": bind(_cell_owner.hand_over),
-        "fetch_config": give_config(node),
+        "fetch_config": make_config_handler(node),
         "query_booking": bind(_booking_handlers.query_booking),
         "run_booking": bind(_booking_handlers.run_booking),
     }
@@ -214,11 +214,11 @@
         return True
     if view.find(node.own_id) is not None or node.cells:
         return False
-    waiting = [owned for at_s, owned in node.relinquished.values() if at_s > 0]
+    waiting = [owned for at_s, owned in node.relinquished_cells.values() if at_s > 0]
     return all(_is_fetched(node, owned) for owned in waiting)
 
 
 def _is_fetched(node, owned):
     """Return whether a relinquished cell was fetched or has been kept long enough."""
-    at_s, _ = node.relinquished[owned.cell.name]
-    return read_clock() - at_s >= _cell_owner.KEEP_RELINQUISHED_S
+    at_s, _ = node.relinquished_cells[owned.cell.name]
+    return read_clock() - at_s >= _cell_owner.HAND_OVER_EXPIRY_S
--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -38,7 +38,7 @@
     return time.monotonic()
 
 
-def draw_id():
+def generate_id():
     """Return a new random id."""
     return secrets.token_hex(8)
 
@@ -81,7 +81,7 @@
     cells_by_served: Any
 
 
-def make_index(fleet, region):
+def make_cell_index(fleet, region):
     """Index the cells whose failure domains lie in ``region``.
 
     Cells of other regions are owned by members of those regions, and these are not in
@@ -114,31 +114,31 @@
     def __init__(self, settings):
         self.settings = settings
         self.own = Member(
-            settings.name, draw_id(), settings.peer_address, settings.failure_domain
+            settings.name, generate_id(), settings.peer_address, settings.failure_domain
         )
-        self.life = CHART.initial
+        self.lifecycle_state = CHART.initial
         self.config = ConfigState()
-        self.config_since_s = 0.0
+        self.config_changed_s = 0.0
         self.config_changed = anyio.Event()
         self.verdicts = OrderedDict()
         self.membership = Membership(
             self.own, lease_s=settings.lease_s, suspect_s=settings.suspect_s
         )
         self.hosts = None
-        self.log_asked_s = NEVER_S
+        self.log_read_started_s = NEVER_S
         self.http = make_http_client(connect_s=settings.connect_s)
         self.peers = PeerClient()
         self.log = LogClient(self.http, settings.log_url)
         self.booking_writer = GroupWriter(self.log, BOOKING_STREAM)
         self.cells = {}
-        self.relinquished = {}
+        self.relinquished_cells = {}
         self.permits = {}
         self.bookings = {}
         self.issued_home_keys = 0
         self.counters = Counters(
             make_statsd(settings.statsd_address, settings.statsd_prefix)
         )
-        self.explanations = Explanations()
+        self.request_traces = Explanations()
         self.budgets = CustomerBudgets()
         self.active = {}
         self.standstill = Standstill()
@@ -163,23 +163,23 @@
     def get_cell_index(self):
         """Return the index of the region's cells, made once for each configuration."""
         if self._index is None or self._index.fleet is not self.fleet:
-            self._index = make_index(self.fleet, self.settings.region)
+            self._index = make_cell_index(self.fleet, self.settings.region)
         return self._index
 
     def step(self, event):
         """Apply an event to the node's lifecycle state; return whether it changed."""
-        before = self.life
-        self.life = CHART.step(before, event)
-        return self.life != before
+        before = self.lifecycle_state
+        self.lifecycle_state = CHART.step(before, event)
+        return self.lifecycle_state != before
 
     def has_state_flag(self, flag):
         """Return whether the node's lifecycle state has a flag in the chart."""
-        return CHART.has(self.life, flag)
+        return CHART.has(self.lifecycle_state, flag)
 
     def is_fresh(self, *, now_s):
         """Return whether this node can know the configuration in force."""
         return is_fresh(
-            log_asked_s=self.log_asked_s,
+            log_read_started_s=self.log_read_started_s,
             majority_heard=self.membership.is_majority_heard(now_s=now_s),
             now_s=now_s,
             within_s=self.settings.lease_s,
@@ -197,4 +197,4 @@
 
     def note(self, request_id, what, **fields):
         """Record a step of a request for ``lycheetide explain``."""
-        self.explanations.note(request_id, what, now_s=read_clock(), **fields)
+        self.request_traces.note(request_id, what, now_s=read_clock(), **fields)
--- a/lycheetide/node/_successors.py
+++ b/lycheetide/node/_successors.py
@@ -5,7 +5,7 @@
 import anyio
 
 from lycheetide.fleet import takes_new_work
-from lycheetide.node._permits import get_permit, give_back, may_send
+from lycheetide.node._permits import acquire_permit, is_permit_usable, release_permit
 from lycheetide.node._state import read_clock
 from lycheetide.outcomes import NotRun, RetryReason
 from lycheetide.routing import RetryDecision, decide_retry
@@ -14,7 +14,7 @@
 SEEK_AGAIN_S = 0.5
 
 
-async def seek_successor(node, spec, silent, silence, *, attempts):
+async def acquire_successor(node, spec, silent, silence, *, attempts):
     """Wait until a request can move to another replica, and spend a retry on it.
 
     The retry is taken from the customer's budget last, so that none is lost if no
@@ -24,7 +24,7 @@
     ----------
     node : NodeState
         This node.
-    spec : Wish
+    spec : PermitSpec
         The permit that the request needs.
     silent : tuple of str
         Replicas of the current attempt.
@@ -36,7 +36,7 @@
     Returns
     -------
     permit : HeldPermit
-        The permit, as ``get_permit`` returns it.
+        The permit, as ``acquire_permit`` returns it.
     asked_s : float
         When the call that brought it was sent.
     """
@@ -54,7 +54,7 @@
                 # ``is_begun=False`` makes a refusal end the call, so that the other
                 # replicas and the budget are checked again.
                 next_spec = replace(spec, avoid=avoid, is_begun=False)
-                held, asked_s = await get_permit(node, next_spec)
+                held, asked_s = await acquire_permit(node, next_spec)
             except NotRun:
                 pass
             else:
@@ -65,7 +65,7 @@
                     and _can_retry(node, spec, attempts, node.budgets.spend_retry)
                 ):
                     return held, asked_s
-                give_back(node, held)
+                release_permit(node, held)
         await anyio.sleep(SEEK_AGAIN_S)
 
 
@@ -84,7 +84,7 @@
 def _can_send(node, held, asked_s):
     """Return whether the permit may be used; False also while the node is cut off."""
     try:
-        return may_send(node, held, asked_s)
+        return is_permit_usable(node, held, asked_s)
     except NotRun:
         return False
 
@@ -106,20 +106,20 @@
     return decision is RetryDecision.RETRY
 
 
-def take_successor(run):
+def pop_successor(run):
     """Remove and return the permit for a run's next attempt, or return None."""
     successor, run.successor = run.successor, None
     return successor
 
 
-def give_back_successor(node, run):
+def release_successor(node, run):
     """End the permit for a next attempt that will not be made."""
-    successor = take_successor(run)
+    successor = pop_successor(run)
     if successor is not None:
-        give_back(node, successor[0])
+        release_permit(node, successor[0])
 
 
-def decide_next(node, run, error):
+def decide_next_attempt(node, run, error):
     """Decide on another attempt; if a successor has its permit, its retry is spent."""
     if run.successor is not None:
         return RetryDecision.RETRY
--- a/lycheetide/node/tests/test_cold.py
+++ b/lycheetide/node/tests/test_cold.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lycheetide.node.tests.test_domains import keep_asking
+from lycheetide.node.tests.test_domains import send_prompts_for
 from standins.callers import ask_prompt
 from standins.local import LocalFleet, make_forge_works
 from standins.promises import find_broken, wait_memory_free
@@ -42,13 +42,13 @@
     """
     fleet = cold_fleet
     with ThreadPoolExecutor(200) as pool:
-        jobs = keep_asking(fleet, pool, 2.0)
+        jobs = send_prompts_for(fleet, pool, 2.0)
         for name in fleet.engines:
             fleet.set_faults(name, turn_cold=True)
-            jobs += keep_asking(fleet, pool, 0.7)
+            jobs += send_prompts_for(fleet, pool, 0.7)
         for name in fleet.engines:
             fleet.set_faults(name, turn_cold=True)
-        jobs += keep_asking(fleet, pool, 2.0)
+        jobs += send_prompts_for(fleet, pool, 2.0)
         answers = [job.result() for job in jobs]
     worst = [fleet.record(name)["worst_cold_in_flight"] for name in fleet.engines]
     print(f"{len(answers)} requests, most in flight on a cold engine {max(worst)}")
@@ -67,7 +67,7 @@
     fleet = cold_fleet
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(80) as pool:
-        for job in keep_asking(fleet, pool, 2.5):
+        for job in send_prompts_for(fleet, pool, 2.5):
             job.result()
         time.sleep(1.0)
         for name in fleet.engines:
@@ -98,15 +98,15 @@
     ]
     others = [node for node in fleet.nodes.values() if node is not owners[0]]
     with ThreadPoolExecutor(250) as pool:
-        jobs = keep_asking(fleet, pool, 1.0)
+        jobs = send_prompts_for(fleet, pool, 1.0)
         owners[0].freeze()
         for name in fleet.engines:
             fleet.set_faults(name, turn_cold=True)
-        jobs += keep_asking(fleet, pool, 5.0, nodes=others)
+        jobs += send_prompts_for(fleet, pool, 5.0, nodes=others)
         for name in fleet.engines:
             fleet.set_faults(name, turn_cold=True)
         owners[0].thaw()
-        jobs += keep_asking(fleet, pool, 2.0)
+        jobs += send_prompts_for(fleet, pool, 2.0)
         answers = [job.result() for job in jobs]
     assert find_crashed(fleet) == {}
     assert find_broken(fleet, answers, deadline_s=10.0) == []
--- a/lycheetide/node/tests/test_cold_stalls.py
+++ b/lycheetide/node/tests/test_cold_stalls.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from lycheetide.node.tests.test_cold import cold_fleet, find_crashed
-from lycheetide.node.tests.test_domains import keep_asking
+from lycheetide.node.tests.test_domains import send_prompts_for
 
 __all__ = ["cold_fleet"]
 
@@ -42,12 +42,12 @@
         target=freeze_some_repeatedly, args=(others, stopped), kwargs={"seed": 1}
     )
     with ThreadPoolExecutor(200) as pool:
-        jobs = keep_asking(fleet, pool, 2.0)
+        jobs = send_prompts_for(fleet, pool, 2.0)
         stall_thread.start()
         for _ in range(4):
             for name in fleet.engines:
                 fleet.set_faults(name, turn_cold=True)
-                jobs += keep_asking(fleet, pool, 0.5)
+                jobs += send_prompts_for(fleet, pool, 0.5)
         stopped.set()
         stall_thread.join()
         answers = [job.result() for job in jobs]
--- a/lycheetide/node/tests/test_domains.py
+++ b/lycheetide/node/tests/test_domains.py
@@ -33,7 +33,7 @@
     ]
 
 
-def keep_asking(fleet, pool, seconds, nodes=None, **fields):
+def send_prompts_for(fleet, pool, seconds, nodes=None, **fields):
     """Send short prompts through all nodes for ``seconds``; return the futures."""
     nodes = nodes or list(fleet.nodes.values())
     jobs: list[Any] = []
@@ -61,11 +61,11 @@
     fleet = own_fleet
     leaving = list_domain_engines(fleet, "cork-a")[0]
     with ThreadPoolExecutor(64) as pool:
-        jobs = keep_asking(fleet, pool, 1.0)
+        jobs = send_prompts_for(fleet, pool, 1.0)
         fleet.publish([make_domain_entry("out")])
         out_s = time.monotonic()
         in_force_s = fleet.wait_for(lambda: min(list_versions(fleet)) == fleet.version)
-        jobs += keep_asking(fleet, pool, 2.0)
+        jobs += send_prompts_for(fleet, pool, 2.0)
         row = next(
             value
             for section, name, value, _ in fleet.http.get(
@@ -75,7 +75,7 @@
         )
         fleet.publish([("upstreams", leaving, row | {"state": "leaving"})])
         left_s = time.monotonic()
-        jobs += keep_asking(fleet, pool, 2.0)
+        jobs += send_prompts_for(fleet, pool, 2.0)
         answers = [job.result() for job in jobs]
     print(f"in force everywhere after {in_force_s:.3f} s")
     assert in_force_s < MAX_PROPAGATION_S
@@ -99,7 +99,7 @@
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(64) as pool:
-        jobs = keep_asking(fleet, pool, 0.6)
+        jobs = send_prompts_for(fleet, pool, 0.6)
         nodes[0].freeze()
         late = [pool.submit(ask_prompt, nodes[0], 1_000, seed=9_000 + i,
                             deadline_s=20.0) for i in range(12)]  # fmt: skip
@@ -133,7 +133,7 @@
     out_s = time.monotonic()
     took_s = fleet.wait_for(lambda: min(list_versions(fleet)) == fleet.version)
     with ThreadPoolExecutor(64) as pool:
-        answers = [job.result() for job in keep_asking(fleet, pool, 5.0)]
+        answers = [job.result() for job in send_prompts_for(fleet, pool, 5.0)]
     assert took_s < MAX_PROPAGATION_S
     assert (
         list_late_starts(fleet, list_domain_engines(fleet), out_s + MAX_PROPAGATION_S)
--- a/lycheetide/node/tests/test_stop.py
+++ b/lycheetide/node/tests/test_stop.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from lycheetide.node._run import HAND_OVER_TIMEOUT_S
-from lycheetide.node.tests.test_domains import keep_asking
+from lycheetide.node.tests.test_domains import send_prompts_for
 from standins.callers import ask_prompt, book, count_runs, get_key
 from standins.promises import find_broken, wait_memory_free
 
@@ -100,7 +100,7 @@
             fleet.list_hosts()
         # A load balancer sends nothing to a host that has never been ready.
         fleet.wait_ready(may_have_ended=True)
-        jobs += keep_asking(fleet, pool, 1.0)
+        jobs += send_prompts_for(fleet, pool, 1.0)
         answers = [job.result() for job in jobs]
     unanswered = [a for a in answers if not a.whole]
     print(f"{len(answers)} requests, {len(unanswered)} without their answer")
--- a/lycheetide/node/tests/test_successors.py
+++ b/lycheetide/node/tests/test_successors.py
@@ -9,8 +9,8 @@
 from lycheetide.limits import CustomerBudgets
 from lycheetide.metrics import Counters
 from lycheetide.node import _successors
-from lycheetide.node._permits import Wish
-from lycheetide.node._state import HeldPermit, make_index, read_clock
+from lycheetide.node._permits import PermitSpec
+from lycheetide.node._state import HeldPermit, make_cell_index, read_clock
 from lycheetide.outcomes import NotRun, Reason
 from lycheetide.routing import Admitted
 from lycheetide.upstreams import Silence
@@ -38,7 +38,7 @@
     fleet = Fleet(upstreams=engines, failure_domains=domains)
     return SimpleNamespace(
         fleet=fleet,
-        get_cell_index=lambda: make_index(fleet, "munster"),
+        get_cell_index=lambda: make_cell_index(fleet, "munster"),
         budgets=CustomerBudgets(),
         counters=Counters(None),
         note=lambda *_, **__: None,
@@ -52,24 +52,24 @@
     """Find a successor of ``a1``; return its replicas and those of released permits."""
     given_back = []
 
-    async def get_permit(node, spec):
+    async def acquire_permit(node, spec):
         came = permits.pop(0)
         if isinstance(came, NotRun):
             raise came
         return HeldPermit(SimpleNamespace(replicas=(came,)), "c"), read_clock()
 
     monkeypatch.setattr(_successors, "SEEK_AGAIN_S", 0.01)
-    monkeypatch.setattr(_successors, "get_permit", get_permit)
+    monkeypatch.setattr(_successors, "acquire_permit", acquire_permit)
     monkeypatch.setattr(
-        _successors, "give_back", lambda _, held: given_back.append(held)
+        _successors, "release_permit", lambda _, held: given_back.append(held)
     )
     now_s = read_clock()
     admitted = Admitted("r1", CUSTOMER, None, now_s, now_s + 20.0)
     silence = Silence()
     silence.begin(-1.0)
     with anyio.fail_after(5.0):
-        held, _ = await _successors.seek_successor(
-            node, Wish(admitted, "m", 1, 1), ("a1",), silence, attempts=1
+        held, _ = await _successors.acquire_successor(
+            node, PermitSpec(admitted, "m", 1, 1), ("a1",), silence, attempts=1
         )
     return held.permit.replicas, [held.permit.replicas for held in given_back]
 
--- a/lycheetide/routing/_dispatch.py
+++ b/lycheetide/routing/_dispatch.py
@@ -10,12 +10,12 @@
 from lycheetide.outcomes import NotRun, Reason
 
 
-def is_fresh(*, log_asked_s, majority_heard, now_s, within_s):
+def is_fresh(*, log_read_started_s, majority_heard, now_s, within_s):
     """Return whether a node can know the configuration that is in force.
 
     Parameters
     ----------
-    log_asked_s : float
+    log_read_started_s : float
         Time at which the latest answered read of the log was sent, in seconds.
     majority_heard : bool
         Whether the node recently heard from a majority of the view's members.
@@ -30,7 +30,7 @@
         An outage of the log alone doesn't make it False: nothing can be published
         during the outage, and earlier changes are learned from the other members.
     """
-    return majority_heard or now_s - log_asked_s <= within_s
+    return majority_heard or now_s - log_read_started_s <= within_s
 
 
 def check_dispatch(fleet, replicas, *, fresh, permit_asked_s, now_s, permit_use_s):
--- a/lycheetide/routing/tests/test_dispatch.py
+++ b/lycheetide/routing/tests/test_dispatch.py
@@ -62,7 +62,7 @@
     log_age_s, majority, expected
 ):
     fresh = is_fresh(
-        log_asked_s=100.0 - log_age_s, majority_heard=majority, now_s=100.0,
+        log_read_started_s=100.0 - log_age_s, majority_heard=majority, now_s=100.0,
         within_s=2.0,
     )  # fmt: skip
     assert fresh is expected
