--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from benchmarks.policy import describe_commit
-from lycheetide.bookings import Claim, decide, make_claim_record
+from lycheetide.bookings import Claim, make_claim_record, resolve_claim
 from lycheetide.fleet import (
     ConfigState,
     FailureDomain,
@@ -228,7 +228,7 @@
         for i in range(records)
     ] + [(records, make_claim_record(claim))]
     return measure_cpu_us(
-        lambda: decide(rows, claim, birth_offset=0, first_retained=0), 50
+        lambda: resolve_claim(rows, claim, issue_offset=0, first_retained=0), 50
     )
 
 
--- a/lycheetide/bookings/__init__.py
+++ b/lycheetide/bookings/__init__.py
@@ -5,10 +5,10 @@
     ClaimDecision,
     KeyStatus,
     OutcomeRecord,
-    decide,
     make_claim_record,
     make_outcome_record,
     make_release_record,
+    resolve_claim,
 )
 from lycheetide.bookings._keys import BookingKey, KeyMode, make_key, parse_key
 
@@ -19,10 +19,10 @@
     "KeyMode",
     "KeyStatus",
     "OutcomeRecord",
-    "decide",
     "make_claim_record",
     "make_key",
     "make_outcome_record",
     "make_release_record",
     "parse_key",
+    "resolve_claim",
 ]
--- a/lycheetide/bookings/_claims.py
+++ b/lycheetide/bookings/_claims.py
@@ -124,17 +124,17 @@
     }
 
 
-def decide(records, claim, *, birth_offset, first_retained):
+def resolve_claim(records, claim, *, issue_offset, first_retained):
     """Determine the status of a key and whether a claim permits running it.
 
     Parameters
     ----------
     records : iterable of (int, record)
-        All records from ``birth_offset`` on, in order. Records after the claim may be
+        All records from ``issue_offset`` on, in order. Records after the claim may be
         among them.
     claim : Claim
         The claim to evaluate. It need not be among the records.
-    birth_offset : int
+    issue_offset : int
         Offset of the log at which the key was issued, from the key.
     first_retained : int
         Offset of the oldest record that the log still retained when it was read.
@@ -144,7 +144,7 @@
     ClaimDecision
         The key may run only if its status is ``KeyStatus.MINE``.
     """
-    if first_retained > birth_offset:
+    if first_retained > issue_offset:
         return ClaimDecision(KeyStatus.EXPIRED)
     claims = []
     released = set()
--- a/lycheetide/bookings/_keys.py
+++ b/lycheetide/bookings/_keys.py
@@ -36,7 +36,7 @@
         The key as the caller sends it.
     mode : KeyMode
         How the key is kept from running twice.
-    birth_offset : int
+    issue_offset : int
         End of the log as the issuing node knew it. A smaller offset is safe, too.
     issuer_id : str
         Member id of the issuing node.
@@ -46,19 +46,19 @@
 
     text: str
     mode: KeyMode
-    birth_offset: int
+    issue_offset: int
     issuer_id: str
     customer: str
 
 
-def make_key(*, mode, birth_offset, issuer_id, customer, random_hex=secrets.token_hex):
+def make_key(*, mode, issue_offset, issuer_id, customer, random_hex=secrets.token_hex):
     """Issue a key.
 
     Parameters
     ----------
     mode : KeyMode
         How the key will be kept from running twice.
-    birth_offset : int
+    issue_offset : int
         An offset not beyond the end of the log.
     issuer_id : str
         Member id of the issuing node.
@@ -74,7 +74,7 @@
 
     Examples
     --------
-    >>> key = make_key(mode=KeyMode.CLAIMED, birth_offset=7, issuer_id="n1/ab",
+    >>> key = make_key(mode=KeyMode.CLAIMED, issue_offset=7, issuer_id="n1/ab",
     ...                customer="kestrel", random_hex=lambda count: "00" * count)
     >>> key.text
     'lt1~c~7~n1/ab~kestrel~000000000000000000000000'
@@ -83,13 +83,13 @@
         [
             KEY_FORMAT,
             mode,
-            str(birth_offset),
+            str(issue_offset),
             issuer_id,
             customer,
             random_hex(RANDOM_BYTES),
         ]
     )
-    return BookingKey(text, mode, birth_offset, issuer_id, customer)
+    return BookingKey(text, mode, issue_offset, issuer_id, customer)
 
 
 def parse_key(text):
--- a/lycheetide/bookings/tests/test_claims.py
+++ b/lycheetide/bookings/tests/test_claims.py
@@ -13,12 +13,12 @@
     KeyMode,
     KeyStatus,
     OutcomeRecord,
-    decide,
     make_claim_record,
     make_key,
     make_outcome_record,
     make_release_record,
     parse_key,
+    resolve_claim,
 )
 
 NODES = 3
@@ -36,7 +36,7 @@
         self.log = [{"kind": "claim", "key": "other", "id": "x", "member": "n",
                      "body_hash": "h"}]  # fmt: skip
         self.first_retained = 0
-        self.birth_offset = 1
+        self.issue_offset = 1
         self.delayed_appends = []
         self.claims: list[Claim | None] = [None] * NODES
         self.may_run = [False] * NODES
@@ -71,9 +71,9 @@
         if claim is None:
             return
         records = list(enumerate(self.log))[self.first_retained :]
-        decision = decide(
-            [row for row in records if row[0] >= self.birth_offset],
-            claim, birth_offset=self.birth_offset, first_retained=self.first_retained,
+        decision = resolve_claim(
+            [row for row in records if row[0] >= self.issue_offset],
+            claim, issue_offset=self.issue_offset, first_retained=self.first_retained,
         )  # fmt: skip
         self.may_run[node] = decision.key_status is KeyStatus.MINE
 
@@ -127,8 +127,8 @@
 def test_a_key_whose_first_records_have_expired_is_never_run():
     """A key is used again days later, after the log has dropped its first claim."""
     claim = Claim("c1", "key", "n1", "h")
-    decision = decide(
-        [(9, make_claim_record(claim))], claim, birth_offset=3, first_retained=4
+    decision = resolve_claim(
+        [(9, make_claim_record(claim))], claim, issue_offset=3, first_retained=4
     )
     assert decision.key_status is KeyStatus.EXPIRED
 
@@ -137,7 +137,7 @@
     first = Claim("c1", "key", "n1", "h1")
     second = Claim("c2", "key", "n2", "h2")
     records = [(0, make_claim_record(first)), (1, make_claim_record(second))]
-    decision = decide(records, second, birth_offset=0, first_retained=0)
+    decision = resolve_claim(records, second, issue_offset=0, first_retained=0)
     assert decision.key_status is KeyStatus.OTHER_BODY
 
 
@@ -151,6 +151,6 @@
 
 def test_a_parsed_key_equals_the_issued_one():
     key = make_key(
-        mode=KeyMode.HOME, birth_offset=12, issuer_id="n1/a", customer="kestrel"
+        mode=KeyMode.HOME, issue_offset=12, issuer_id="n1/a", customer="kestrel"
     )
     assert parse_key(key.text) == key
--- a/lycheetide/node/_booking_forwarding.py
+++ b/lycheetide/node/_booking_forwarding.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from lycheetide.bookings import Claim, KeyStatus, decide
+from lycheetide.bookings import Claim, KeyStatus, resolve_claim
 from lycheetide.node._booking_errors import (
     make_holder_lost_error,
     make_key_reused_error,
@@ -92,13 +92,13 @@
     """Return the answer recorded on the log; without one, the outcome is unknown."""
     claim = Claim("", key.text, "", body_hash)
     try:
-        batch = await node.log.read_all(BOOKING_STREAM, key.birth_offset)
+        batch = await node.log.read_all(BOOKING_STREAM, key.issue_offset)
     except LogUnavailable:
         raise make_holder_lost_error() from None
-    decision = decide(
+    decision = resolve_claim(
         batch.records,
         claim,
-        birth_offset=key.birth_offset,
+        issue_offset=key.issue_offset,
         first_retained=batch.first_retained,
     )
     if decision.key_status is KeyStatus.RECORDED:
--- a/lycheetide/node/_booking_keys.py
+++ b/lycheetide/node/_booking_keys.py
@@ -47,7 +47,7 @@
     node.counters.add(f"keys.{mode.name.lower()}")
     return make_key(
         mode=mode,
-        birth_offset=node.booking_writer.next_offset,
+        issue_offset=node.booking_writer.next_offset,
         issuer_id=node.own_id,
         customer=customer.name,
     )
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -14,10 +14,10 @@
     KeyMode,
     KeyStatus,
     OutcomeRecord,
-    decide,
     make_claim_record,
     make_outcome_record,
     make_release_record,
+    resolve_claim,
 )
 from lycheetide.charts import load_chart
 from lycheetide.metrics import get_log
@@ -328,20 +328,20 @@
     except LogUnavailable:
         node.counters.add("claims.answer_lost")
     try:
-        batch = await node.log.read_all(BOOKING_STREAM, run.key.birth_offset)
+        batch = await node.log.read_all(BOOKING_STREAM, run.key.issue_offset)
     except LogUnavailable:
         return None
-    if run.key.birth_offset > batch.next_offset:
+    if run.key.issue_offset > batch.next_offset:
         run.step("lost")
         raise NotRun(
             Reason.KEY_AHEAD,
             "the key's issue offset is beyond the end of the log",
             status=400,
         )
-    return decide(
+    return resolve_claim(
         batch.records,
         run.claim,
-        birth_offset=run.key.birth_offset,
+        issue_offset=run.key.issue_offset,
         first_retained=batch.first_retained,
     )
 
