--- a/lycheetide/cli/_config.py
+++ b/lycheetide/cli/_config.py
@@ -18,7 +18,7 @@
 )
 from lycheetide.cli._output import fetch_json
 from lycheetide.fleet import check_document, make_change_record, restore
-from lycheetide.fleet._check import place_lines
+from lycheetide.fleet._validation import place_lines
 from lycheetide.settings import SettingsError
 
 VERDICT_TIMEOUT_S = 20.0
--- a/lycheetide/fleet/__init__.py
+++ b/lycheetide/fleet/__init__.py
@@ -1,7 +1,7 @@
 """The fleet configuration, its validation and the changes applied from the log."""
 
+from lycheetide.fleet._availability import takes_new_work
 from lycheetide.fleet._build import FleetBuilder, print_fleet
-from lycheetide.fleet._check import check_document, find_invalid_entries
 from lycheetide.fleet._fold import (
     ConfigState,
     Verdict,
@@ -21,7 +21,7 @@
     decode_entry,
     encode_entry,
 )
-from lycheetide.fleet._open import takes_new_work
+from lycheetide.fleet._validation import check_document, find_invalid_entries
 
 __all__ = [
     "ConfigState",
--- a/lycheetide/fleet/_build.py
+++ b/lycheetide/fleet/_build.py
@@ -15,7 +15,6 @@
 import json
 from typing import Any
 
-from lycheetide.fleet._check import check_document
 from lycheetide.fleet._model import (
     Customer,
     FailureDomain,
@@ -25,6 +24,7 @@
     Upstream,
     encode_entry,
 )
+from lycheetide.fleet._validation import check_document
 
 REPLICAS_PER_CELL = 8
 
--- a/lycheetide/fleet/_fold.py
+++ b/lycheetide/fleet/_fold.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from lycheetide.fleet._check import find_invalid_entries
 from lycheetide.fleet._model import ENTRY_TYPES, Fleet, decode_entry, encode_entry
+from lycheetide.fleet._validation import find_invalid_entries
 
 BEFORE_FIRST_OFFSET = -1
 
--- a/standins/local.py
+++ b/standins/local.py
@@ -19,7 +19,7 @@
 import httpx
 
 from lycheetide.fleet import FleetBuilder, decode_entry, make_change_record
-from lycheetide.fleet._check import entry_name
+from lycheetide.fleet._validation import entry_name
 
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 15.0
