--- a/lycheetide/cli/_config.py
+++ b/lycheetide/cli/_config.py
@@ -17,8 +17,8 @@
     print_findings,
 )
 from lycheetide.cli._output import fetch_json
-from lycheetide.fleet import check_document, make_change_record, restore
-from lycheetide.fleet._validation import place_lines
+from lycheetide.fleet import make_change_record, restore_snapshot, validate_document
+from lycheetide.fleet._validation import add_line_numbers
 from lycheetide.settings import SettingsError
 
 VERDICT_TIMEOUT_S = 20.0
@@ -48,9 +48,9 @@
             f"{path}:{error.lineno}: not JSON: {error.msg}", code=EXIT_INVALID
         ) from None
     try:
-        return check_document(document, place=path)
+        return validate_document(document, place=path)
     except* SettingsError as group:
-        findings = place_lines(text, list_findings(group))
+        findings = add_line_numbers(text, list_findings(group))
         print_findings([str(finding) for finding in findings])
         raise cappa.Exit(code=EXIT_INVALID) from None
 
@@ -125,7 +125,7 @@
 
         fleet = load_fleet_file(self.file)
         current = fetch_json(self.node, "/config")
-        state = restore(current["snapshot"])
+        state = restore_snapshot(current["snapshot"])
         base = state.version if self.base is None else self.base
         changes = list(list_changes(fleet, state))
         if not changes:
--- a/lycheetide/fleet/__init__.py
+++ b/lycheetide/fleet/__init__.py
@@ -8,7 +8,7 @@
     fold,
     make_change_record,
     make_snapshot_record,
-    restore,
+    restore_snapshot,
 )
 from lycheetide.fleet._model import (
     Customer,
@@ -21,7 +21,7 @@
     decode_entry,
     encode_entry,
 )
-from lycheetide.fleet._validation import check_document, find_invalid_entries
+from lycheetide.fleet._validation import find_invalid_entries, validate_document
 
 __all__ = [
     "ConfigState",
@@ -34,7 +34,6 @@
     "RequestClass",
     "Upstream",
     "Verdict",
-    "check_document",
     "decode_entry",
     "encode_entry",
     "find_invalid_entries",
@@ -42,6 +41,7 @@
     "make_change_record",
     "make_snapshot_record",
     "print_fleet",
-    "restore",
+    "restore_snapshot",
     "takes_new_work",
+    "validate_document",
 ]
--- a/lycheetide/fleet/_build.py
+++ b/lycheetide/fleet/_build.py
@@ -24,7 +24,7 @@
     Upstream,
     encode_entry,
 )
-from lycheetide.fleet._validation import check_document
+from lycheetide.fleet._validation import validate_document
 
 REPLICAS_PER_CELL = 8
 
@@ -122,7 +122,7 @@
         With one ``SettingsError`` for each finding.
     """
     document = builder.make_document()
-    check_document(document, place="the configuration")
+    validate_document(document, place="the configuration")
     sections = []
     for section, rows in document.items():
         lines = ",\n".join("    " + json.dumps(row) for row in rows)
--- a/lycheetide/fleet/_fold.py
+++ b/lycheetide/fleet/_fold.py
@@ -231,7 +231,7 @@
     }
 
 
-def restore(record):
+def restore_snapshot(record):
     """Rebuild the state from a snapshot record."""
     entries = {
         (section, name): VersionedEntry(
@@ -259,7 +259,7 @@
     return record["folded_offset"] + 1 >= first_retained
 
 
-def begin(records, first_retained, state):
+def find_start_state(records, first_retained, state):
     """Return a state from which the records can be folded without a gap.
 
     Parameters
@@ -283,6 +283,6 @@
         if not isinstance(record, dict) or record.get("kind") != "snapshot":
             continue
         if reaches_retained_records(record, first_retained):
-            restored = restore(record)
+            restored = restore_snapshot(record)
             return restored if restored.version >= state.version else None
     return None
--- a/lycheetide/fleet/_validation.py
+++ b/lycheetide/fleet/_validation.py
@@ -116,7 +116,7 @@
             yield "operations", name, "service", came, "a service with an upstream"
 
 
-def check_document(document, *, place):
+def validate_document(document, *, place):
     """Validate plain data and build a fleet from it.
 
     Parameters
@@ -193,7 +193,7 @@
     return str(row.get("name", ""))
 
 
-def place_lines(text, findings):
+def add_line_numbers(text, findings):
     """Add line numbers to findings about a JSON text.
 
     The line is the one that holds the name of the entry.
--- a/lycheetide/fleet/tests/test_fold.py
+++ b/lycheetide/fleet/tests/test_fold.py
@@ -9,13 +9,13 @@
     ConfigState,
     FailureDomain,
     FleetBuilder,
-    check_document,
     fold,
     make_change_record,
     make_snapshot_record,
-    restore,
+    restore_snapshot,
+    validate_document,
 )
-from lycheetide.fleet._fold import begin
+from lycheetide.fleet._fold import find_start_state
 
 NAMES = ("cork-a", "cork-b", "cork-c")
 
@@ -61,7 +61,7 @@
     whole, _ = fold_all(records)
     cut = data.draw(st.integers(0, len(records)))
     part, _ = fold_all(records[:cut])
-    restored = restore(make_snapshot_record(part))
+    restored = restore_snapshot(make_snapshot_record(part))
     resumed, _ = fold_all(records, restored, start=cut)
     refolded, _ = fold_all(records, whole)
     assert resumed.fleet == whole.fleet == refolded.fleet
@@ -138,7 +138,7 @@
             name, kind="engine", serves="assistant", failure_domain="cork-a",
             url="http://10.0.0.1",
         )  # fmt: skip
-    fleet = check_document(builder.make_document(), place="test")
+    fleet = validate_document(builder.make_document(), place="test")
     changes = [
         (section, name, entry)
         for section in ("models", "failure_domains", "upstreams")
@@ -168,8 +168,8 @@
     new, _ = fold_all(records)
     late = [(5, make_snapshot_record(old))]
     current = [(4, make_snapshot_record(new))]
-    assert begin(late, 3, ConfigState()) is None
-    started = begin(current + late, 2, ConfigState())
+    assert find_start_state(late, 3, ConfigState()) is None
+    started = find_start_state(current + late, 2, ConfigState())
     assert started.fleet.failure_domains["cork-a"].state == "out"
 
 
@@ -182,4 +182,4 @@
     known_state, _ = fold_all(records)
     old, _ = fold_all(records[:1])
     snapshot = make_snapshot_record(old) | {"folded_offset": 9}
-    assert begin([(10, snapshot)], 8, known_state) is None
+    assert find_start_state([(10, snapshot)], 8, known_state) is None
--- a/lycheetide/node/_log_followers.py
+++ b/lycheetide/node/_log_followers.py
@@ -2,8 +2,8 @@
 
 import anyio
 
-from lycheetide.fleet import fold, make_snapshot_record, restore
-from lycheetide.fleet._fold import begin
+from lycheetide.fleet import fold, make_snapshot_record, restore_snapshot
+from lycheetide.fleet._fold import find_start_state
 from lycheetide.membership import make_view_snapshot_record
 from lycheetide.metrics import get_log
 from lycheetide.node._state import (
@@ -51,7 +51,7 @@
             node.counters.add("log.unavailable")
             await anyio.sleep(RETRY_DELAY_S)
             continue
-        state = begin(batch.records, batch.first_retained, node.config)
+        state = find_start_state(batch.records, batch.first_retained, node.config)
         if state is None:
             config_log.error(
                 "The log has a gap that no snapshot covers.",
@@ -133,7 +133,7 @@
             continue
         if reply.snapshot is None:
             continue
-        state = restore(reply.snapshot)
+        state = restore_snapshot(reply.snapshot)
         if state.version > node.config.version:
             node.config = state
             node.counters.add("config.from_peer")
