--- a/lycheetide/httpclient/__init__.py
+++ b/lycheetide/httpclient/__init__.py
@@ -8,19 +8,19 @@
 
 from lycheetide.httpclient._channel import (
     Channel,
-    ChannelBroken,
-    ConnectFailed,
-    Outgoing,
+    ChannelConnectError,
+    ChannelError,
+    OutgoingRequest,
     ResponseHead,
 )
-from lycheetide.httpclient._pool import ChannelPool, count_kept
+from lycheetide.httpclient._pool import ChannelPool, compute_idle_limit
 
 __all__ = [
     "Channel",
-    "ChannelBroken",
+    "ChannelConnectError",
+    "ChannelError",
     "ChannelPool",
-    "ConnectFailed",
-    "Outgoing",
+    "OutgoingRequest",
     "ResponseHead",
-    "count_kept",
+    "compute_idle_limit",
 ]
--- a/lycheetide/httpclient/_channel.py
+++ b/lycheetide/httpclient/_channel.py
@@ -24,11 +24,11 @@
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
-class ConnectFailed(Exception):
+class ChannelConnectError(Exception):
     """The connection could not be opened; nothing was sent."""
 
 
-class ChannelBroken(Exception):
+class ChannelError(Exception):
     """A connection was closed, timed out or carried an invalid response.
 
     Parameters
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingRequest:
     """A request to send.
 
     A Content-Length header is added if the body isn't empty or ``has_body`` is set.
@@ -97,7 +97,7 @@
         self.is_reusable = True
         self.idle_s = DEFAULT_IDLE_S
         self.idle_since_s = 0.0
-        self.served = 0
+        self.request_count = 0
         self._parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
@@ -109,7 +109,7 @@
 
         Raises
         ------
-        ConnectFailed
+        ChannelConnectError
             If the connection isn't open within ``timeout_s``.
         """
         host, _, port = address.rpartition(":")
@@ -117,7 +117,7 @@
             with anyio.fail_after(timeout_s):
                 stream = await anyio.connect_tcp(host, int(port))
         except (OSError, ValueError) as error:
-            raise ConnectFailed(f"{address}: {error!r}") from error
+            raise ChannelConnectError(f"{address}: {error!r}") from error
         _set_socket_options(stream)
         return cls(stream, address)
 
@@ -142,7 +142,7 @@
 
         Parameters
         ----------
-        outgoing : Outgoing
+        outgoing : OutgoingRequest
             The request.
         timeout_s : float
             The maximum time until the head is received.
@@ -152,12 +152,12 @@
 
         Raises
         ------
-        ChannelBroken
+        ChannelError
             If no valid head was received.
         """
-        if self.served:
+        if self.request_count:
             self._parser.start_next_cycle()
-        self.served += 1
+        self.request_count += 1
         self.is_written = False
         self.is_reusable = False
         data = self._encode(outgoing)
@@ -177,10 +177,10 @@
                 group.start_soon(self._write, data)
                 head = await self.wait_for(self._read_head, timeout_s, more)
                 group.cancel_scope.cancel()
-        except* ChannelBroken as broken:
+        except* ChannelError as broken:
             first = broken.exceptions[0]
             is_silent = getattr(first, "is_silent", False)
-            raise ChannelBroken(str(first), is_silent=is_silent) from broken
+            raise ChannelError(str(first), is_silent=is_silent) from broken
         return head
 
     async def wait_for(self, read, timeout_s, more=None):
@@ -198,7 +198,7 @@
 
         Raises
         ------
-        ChannelBroken
+        ChannelError
             If the time is over, or the connection was closed.
         """
         begun_s = anyio.current_time()
@@ -208,7 +208,7 @@
             timeout_s = more() if more is not None else 0.0
         waited_s = anyio.current_time() - begun_s
         message = f"nothing from {self.address} for {waited_s:.2f} s"
-        raise ChannelBroken(message, is_silent=True)
+        raise ChannelError(message, is_silent=True)
 
     def _encode(self, outgoing):
         """Return the serialized request."""
@@ -224,7 +224,7 @@
                 parts.append(self._parser.send(h11.Data(data=outgoing.body)))
             parts.append(self._parser.send(h11.EndOfMessage()))
         except h11.LocalProtocolError as error:
-            raise ChannelBroken(f"invalid request: {error}") from error
+            raise ChannelError(f"invalid request: {error}") from error
         return b"".join(part for part in parts if part)
 
     async def _write(self, data):
@@ -249,7 +249,7 @@
                     return event
                 self._parser.receive_data(await self._receive())
             except h11.RemoteProtocolError as error:
-                raise ChannelBroken(f"{self.address}: {error}") from error
+                raise ChannelError(f"{self.address}: {error}") from error
 
     async def _receive(self):
         """Return the next bytes, or empty bytes if the server closed the connection."""
@@ -258,7 +258,7 @@
         except anyio.EndOfStream:
             return b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as error:
-            raise ChannelBroken(f"{self.address}: {error!r}") from error
+            raise ChannelError(f"{self.address}: {error!r}") from error
 
     async def _read_head(self):
         """Return the head of the response; interim (1xx) responses are skipped."""
@@ -267,14 +267,14 @@
             if isinstance(event, h11.Response):
                 return ResponseHead(event.status_code, tuple(event.headers))
             if not isinstance(event, h11.InformationalResponse):
-                raise ChannelBroken(f"{self.address} closed before it responded")
+                raise ChannelError(f"{self.address} closed before it responded")
 
     async def next_chunk(self):
         """Return the next bytes of the body, or None if the body is complete.
 
         Raises
         ------
-        ChannelBroken
+        ChannelError
             If the body is cut off.
         """
         event = await self._next_event()
@@ -283,7 +283,7 @@
         if isinstance(event, h11.EndOfMessage):
             self._update_reusable()
             return None
-        raise ChannelBroken(f"{self.address} closed within a response")
+        raise ChannelError(f"{self.address} closed within a response")
 
     async def read_all(self, *, timeout_s, more=None, max_bytes=64_000_000):
         """Read and return the whole body.
@@ -299,7 +299,7 @@
 
         Raises
         ------
-        ChannelBroken
+        ChannelError
             If the body is cut off, takes too long or is too large.
         """
         parts: list[bytes] = []
@@ -311,7 +311,7 @@
                 parts.append(part)
                 size += len(part)
                 if size > max_bytes:
-                    raise ChannelBroken(f"{self.address} sent over {size} bytes")
+                    raise ChannelError(f"{self.address} sent over {size} bytes")
 
         await self.wait_for(read_rest, timeout_s, more)
         return b"".join(parts)
--- a/lycheetide/httpclient/_pool.py
+++ b/lycheetide/httpclient/_pool.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict, deque
 
-from lycheetide.httpclient._channel import Channel, ChannelBroken
+from lycheetide.httpclient._channel import Channel, ChannelError
 
 MAX_IDLE_PER_ADDRESS = 8
 """Maximum idle connections per address; a replica accepts a few hundred in total."""
@@ -13,7 +13,7 @@
 """
 
 
-def count_kept(connections, senders):
+def compute_idle_limit(connections, senders):
     """Return the number of idle connections one sender may keep to a replica.
 
     Parameters
@@ -30,8 +30,12 @@
 
     Examples
     --------
-    >>> count_kept(434, 9), count_kept(338, 91), count_kept(120, 91)
-    (8, 1, 0)
+    >>> compute_idle_limit(434, 9)
+    8
+    >>> compute_idle_limit(338, 91)
+    1
+    >>> compute_idle_limit(120, 91)
+    0
     """
     return min(
         MAX_IDLE_PER_ADDRESS, int(MAX_IDLE_SHARE * connections / max(1, senders))
@@ -70,7 +74,7 @@
 
         Raises
         ------
-        ConnectFailed
+        ChannelConnectError
             If no connection can be opened.
         """
         idle = self._idle[address]
@@ -83,7 +87,7 @@
         self.opened += 1
         return await Channel.connect(address, timeout_s=timeout_s)
 
-    async def call(self, address, outgoing, *, timeout_s, read_clock, most=1):
+    async def call(self, address, outgoing, *, timeout_s, read_clock, max_idle=1):
         """Send a small idempotent request and return the whole response.
 
         If a reused connection breaks before the response is complete, the server most
@@ -94,13 +98,13 @@
         ----------
         address : str
             The address of the server.
-        outgoing : Outgoing
+        outgoing : OutgoingRequest
             The request.
         timeout_s : float
             The timeout of each step: connecting, reading the head and reading the body.
         read_clock : callable
             Returns the present time.
-        most : int, default=1
+        max_idle : int, default=1
             The maximum number of idle connections to the address.
 
         Returns
@@ -110,7 +114,7 @@
 
         Raises
         ------
-        ConnectFailed, ChannelBroken
+        ChannelConnectError, ChannelError
             If no complete response was received.
         """
         is_fresh = False
@@ -118,21 +122,21 @@
             channel = await self.open(
                 address, timeout_s=timeout_s, now_s=read_clock(), fresh=is_fresh
             )
-            is_reused = channel.served > 0
+            is_reused = channel.request_count > 0
             try:
                 head = await channel.request(outgoing, timeout_s=timeout_s)
                 body = await channel.read_all(timeout_s=timeout_s)
             except BaseException as error:
                 await channel.aclose()
-                is_broken = isinstance(error, ChannelBroken) and not error.is_silent
+                is_broken = isinstance(error, ChannelError) and not error.is_silent
                 if not (is_reused and is_broken):
                     raise
                 is_fresh = True
                 continue
-            await self.give_back(channel, now_s=read_clock(), most=most)
+            await self.give_back(channel, now_s=read_clock(), max_idle=max_idle)
             return head, body
 
-    async def give_back(self, channel, *, now_s, most=MAX_IDLE_PER_ADDRESS):
+    async def give_back(self, channel, *, now_s, max_idle=MAX_IDLE_PER_ADDRESS):
         """Return a connection to the pool, or close it if it can't be reused.
 
         Parameters
@@ -141,22 +145,22 @@
             The connection.
         now_s : float
             The present time.
-        most : int
+        max_idle : int
             The maximum number of idle connections to its address.
         """
         idle = self._idle[channel.address]
-        if not channel.is_alive() or len(idle) >= most:
+        if not channel.is_alive() or len(idle) >= max_idle:
             await channel.aclose()
             return
         channel.idle_since_s = now_s
         idle.append(channel)
 
-    async def forget(self, address):
+    async def close_idle(self, address):
         """Close the idle connections to an address, for example a suspected replica."""
         for channel in self._idle.pop(address, ()):
             await channel.aclose()
 
-    async def sweep(self, *, now_s):
+    async def close_expired(self, *, now_s):
         """Close connections that have been idle for too long."""
         for address in list(self._idle):
             idle = self._idle[address]
@@ -168,4 +172,4 @@
     async def aclose(self):
         """Close all idle connections."""
         for address in list(self._idle):
-            await self.forget(address)
+            await self.close_idle(address)
--- a/lycheetide/httpclient/tests/test_channel.py
+++ b/lycheetide/httpclient/tests/test_channel.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from lycheetide.httpclient import Channel, Outgoing
+from lycheetide.httpclient import Channel, OutgoingRequest
 
 pytestmark = pytest.mark.anyio
 
@@ -35,7 +35,7 @@
             def more(pause_s=pause_s):
                 return pause_s
 
-            outgoing = Outgoing(b"GET", b"/", ((b"Host", b"x"),))
+            outgoing = OutgoingRequest(b"GET", b"/", ((b"Host", b"x"),))
             await channel.request(outgoing, timeout_s=pause_s, more=more)
             assert await channel.read_all(timeout_s=pause_s, more=more) == body
             assert channel.is_reusable
--- a/lycheetide/httpclient/tests/test_pool.py
+++ b/lycheetide/httpclient/tests/test_pool.py
@@ -6,12 +6,17 @@
 import anyio
 import pytest
 
-from lycheetide.httpclient import ChannelBroken, ChannelPool, Outgoing, count_kept
+from lycheetide.httpclient import (
+    ChannelError,
+    ChannelPool,
+    OutgoingRequest,
+    compute_idle_limit,
+)
 from standins.http import Answer, HttpServer, Reset
 
 pytestmark = pytest.mark.anyio
 
-CALL = Outgoing(b"GET", b"/state", ((b"Host", b"peer"),))
+CALL = OutgoingRequest(b"GET", b"/state", ((b"Host", b"peer"),))
 TIMEOUT_S = 1.0
 
 
@@ -61,7 +66,7 @@
     """A server that resets every connection would be called forever."""
     async with run_server(reset_requests={1, 2, 3, 4}) as address:
         pool = ChannelPool()
-        with pytest.raises(ChannelBroken):
+        with pytest.raises(ChannelError):
             await call(pool, address)
         assert pool.opened == 1
         await pool.aclose()
@@ -101,7 +106,7 @@
 
     Together they used all connections that a replica accepts, and it reset new ones.
     """
-    assert nodes * count_kept(connections, nodes) <= connections / 2
+    assert nodes * compute_idle_limit(connections, nodes) <= connections / 2
 
 
 async def test_idle_connections_do_not_exceed_the_limit_of_the_node():
@@ -113,7 +118,7 @@
         for channel in channels:
             await channel.request(CALL, timeout_s=TIMEOUT_S)
             await channel.read_all(timeout_s=TIMEOUT_S)
-            await pool.give_back(channel, now_s=0.0, most=1)
+            await pool.give_back(channel, now_s=0.0, max_idle=1)
         again = await pool.open(address, timeout_s=TIMEOUT_S, now_s=0.0)
         assert again is channels[0]
         assert pool.opened == 3
--- a/lycheetide/platform/_orders.py
+++ b/lycheetide/platform/_orders.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from lycheetide.httpclient import Outgoing
+from lycheetide.httpclient import OutgoingRequest
 
 ORDER_PATH = b"/-/order"
 
@@ -13,7 +13,7 @@
         (b"Host", address.encode()),
         (b"Content-Type", b"application/json"),
     )
-    return Outgoing(b"POST", ORDER_PATH, headers, msgspec.json.encode(body))
+    return OutgoingRequest(b"POST", ORDER_PATH, headers, msgspec.json.encode(body))
 
 
 def encode_reserve(address, ticket, tokens, hold_s):
--- a/lycheetide/platform/_requests.py
+++ b/lycheetide/platform/_requests.py
@@ -1,7 +1,7 @@
 """Decode callers' requests and replicas' responses; encode requests to replicas."""
 
 from lycheetide.exchange import Answer, CallerRequest, Load
-from lycheetide.httpclient import Outgoing
+from lycheetide.httpclient import OutgoingRequest
 
 READY_PATH = "/-/ready"
 RESUME_HEADER = b"last-event-id"
@@ -155,7 +155,7 @@
 
     Returns
     -------
-    Outgoing
+    OutgoingRequest
         The request to send.
     """
     headers = list(request.headers)
@@ -172,7 +172,7 @@
             f"{address}/{ticket}" if ticket else address for address, ticket in helpers
         )
         headers.append((HELPERS, helper_list.encode()))
-    return Outgoing(
+    return OutgoingRequest(
         request.method.encode(), request.target, tuple(headers), body,
         has_body=bool(body) or request.method in {"POST", "PUT", "PATCH"},
     )  # fmt: skip
--- a/lycheetide/platform/_store.py
+++ b/lycheetide/platform/_store.py
@@ -7,7 +7,12 @@
 import msgspec
 
 from lycheetide.exchange import Batch, Record, StoreUnavailable
-from lycheetide.httpclient import Channel, ChannelBroken, ConnectFailed, Outgoing
+from lycheetide.httpclient import (
+    Channel,
+    ChannelConnectError,
+    ChannelError,
+    OutgoingRequest,
+)
 from lycheetide.platform._records import (
     BATCH_HEADER_BYTES,
     RecordFormatError,
@@ -171,12 +176,14 @@
             headers = [(b"Host", self.address.encode())]
             if body:
                 headers.append((b"Content-Type", b"application/octet-stream"))
-            outgoing = Outgoing(method.encode(), target.encode(), tuple(headers), body)
+            outgoing = OutgoingRequest(
+                method.encode(), target.encode(), tuple(headers), body
+            )
             head = await self._channel.request(outgoing, timeout_s=timeout_s)
             content = await self._channel.read_all(timeout_s=timeout_s)
             whole = self._channel.is_reusable
             return _StoreResponse(head.status, content)
-        except (ConnectFailed, ChannelBroken) as error:
+        except (ChannelConnectError, ChannelError) as error:
             raise StoreUnavailable(str(error)) from error
         finally:
             if not whole:
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -6,7 +6,7 @@
 
 from lycheetide.exchange import Answer
 from lycheetide.gossip import Ended, JobPart, Started, make_job, make_sent_ms
-from lycheetide.httpclient import ChannelBroken, ConnectFailed, count_kept
+from lycheetide.httpclient import ChannelConnectError, ChannelError, compute_idle_limit
 from lycheetide.placement import Placement
 from lycheetide.relay._call import find_admission_priority
 from lycheetide.relay._evidence import record_response, suspect
@@ -161,8 +161,8 @@
         if whole:
             now_s = read_clock()
             nodes = len(relay.list_alive_nodes(now_s=now_s))
-            most = count_kept(call.service.max_connections, nodes)
-            await relay.pool.give_back(channel, now_s=now_s, most=most)
+            max_idle = compute_idle_limit(call.service.max_connections, nodes)
+            await relay.pool.give_back(channel, now_s=now_s, max_idle=max_idle)
         else:
             await channel.aclose()
 
@@ -194,7 +194,7 @@
             call.sent += 1
             call.has_retry = False
             is_counted = True
-        is_kept = channel.served > 0
+        is_kept = channel.request_count > 0
         try:
             now_s = read_clock()
             relay.record_sent(first.id, now_s=now_s)
@@ -205,14 +205,14 @@
             return channel, head
         except BaseException as error:
             await channel.aclose()
-            if not isinstance(error, ChannelBroken):
+            if not isinstance(error, ChannelError):
                 raise
             failure = make_failure(error, is_written=channel.is_written)
             call.may_have_run = call.may_have_run or failure.may_have_run
             if not is_kept or error.is_silent or not spend_retry(relay, call):
                 raise failure from error
         is_fresh = True
-        await relay.pool.forget(first.address)
+        await relay.pool.close_idle(first.address)
         relay.counters.add("retries.kept_connection")
         relay.log.info(
             "A kept connection was closed; the request goes out on a new one.",
@@ -235,7 +235,7 @@
             now_s=read_clock(),
             fresh=is_fresh,
         )
-    except ConnectFailed as error:
+    except ChannelConnectError as error:
         suspect(relay, first.id, "no connection")
         raise AttemptFailed(
             Cause.CONNECT_FAILED, str(error), may_have_run=call.may_have_run
--- a/lycheetide/relay/_buffered.py
+++ b/lycheetide/relay/_buffered.py
@@ -1,7 +1,7 @@
 """Serve a request whose answer is short and is sent as a whole."""
 
 from lycheetide.exchange import Answer
-from lycheetide.httpclient import ChannelBroken
+from lycheetide.httpclient import ChannelError
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._evidence import record_failed_attempt
 from lycheetide.relay._outcomes import AttemptFailed, Cause, Refusal
@@ -107,6 +107,6 @@
     ):
         try:
             body = await attempt.channel.read_all(timeout_s=wait_s, more=more)
-        except ChannelBroken as broken:
+        except ChannelError as broken:
             raise make_failure(broken, is_written=True) from broken
         return attempt.answer, body
--- a/lycheetide/relay/_messaging.py
+++ b/lycheetide/relay/_messaging.py
@@ -400,7 +400,7 @@
             self.relay.message_delays.drop_absent(living)
             self._log_new_peers(len(living))
             self.relay.used.log(self.relay, now_s=now_s)
-            await self.relay.pool.sweep(now_s=now_s)
+            await self.relay.pool.close_expired(now_s=now_s)
 
     def _log_new_peers(self, living):
         """Log the number of new peers; one line per peer would grow quadratically."""
--- a/lycheetide/relay/_peer_state.py
+++ b/lycheetide/relay/_peer_state.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from lycheetide.exchange import Batch
-from lycheetide.httpclient import ChannelBroken, ConnectFailed, Outgoing
+from lycheetide.httpclient import ChannelConnectError, ChannelError, OutgoingRequest
 from lycheetide.relay._apply_records import apply_batch
 from lycheetide.relay._state import read_clock
 
@@ -73,7 +73,7 @@
     try:
         target = TOPIC_TARGETS[name] + (FORCE_QUERY if force else b"")
         batch = await request_topic(relay, address, target)
-    except (ConnectFailed, ChannelBroken, msgspec.MsgspecError) as error:
+    except (ChannelConnectError, ChannelError, msgspec.MsgspecError) as error:
         relay.log.info(
             "A peer gave no state.", extra={"peer": address, "cause": str(error)}
         )
@@ -89,12 +89,12 @@
 
 async def request_topic(relay, address, target):
     """Request all records of one topic from a peer."""
-    outgoing = Outgoing(b"GET", target, ((b"Host", address.encode()),))
+    outgoing = OutgoingRequest(b"GET", target, ((b"Host", address.encode()),))
     head, data = await relay.pool.call(
         address, outgoing, timeout_s=PEER_TIMEOUT_S, read_clock=read_clock
     )
     if head.status != 200:
-        raise ChannelBroken(f"{address}: status {head.status}")
+        raise ChannelError(f"{address}: status {head.status}")
     return msgspec.msgpack.decode(data, type=Batch)
 
 
--- a/lycheetide/relay/_reservations.py
+++ b/lycheetide/relay/_reservations.py
@@ -13,7 +13,7 @@
 import anyio
 
 from lycheetide.gossip import Ended, MemoryWanted, WaitingRequest
-from lycheetide.httpclient import ChannelBroken, ConnectFailed
+from lycheetide.httpclient import ChannelConnectError, ChannelError
 from lycheetide.placement import Placement, count_reservable_tokens, needs_shared_memory
 from lycheetide.relay._evidence import suspect
 from lycheetide.relay._selection import (
@@ -232,7 +232,7 @@
                 address, outgoing, timeout_s=ORDER_TIMEOUT_S, read_clock=read_clock
             )
             return head.status
-    except (ConnectFailed, ChannelBroken, TimeoutError) as error:
+    except (ChannelConnectError, ChannelError, TimeoutError) as error:
         relay.log.info(
             "An order got no answer.", extra={"address": address, "cause": str(error)}
         )
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from lycheetide.httpclient import ChannelBroken
+from lycheetide.httpclient import ChannelError
 from lycheetide.placement import MIN_CALLER_PATIENCE_S, estimate_pass_s
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._events import EventSplitter
@@ -247,7 +247,7 @@
     """Forward an answer that isn't a stream."""
     try:
         body = await attempt.channel.read_all(timeout_s=MIN_CALLER_PATIENCE_S)
-    except ChannelBroken as broken:
+    except ChannelError as broken:
         raise make_failure(broken, is_written=True) from broken
     if reply.is_started or attempt.answer.status >= 500:
         raise AttemptFailed(
@@ -277,7 +277,7 @@
     while True:
         try:
             data = await channel.wait_for(channel.next_chunk, event_timeout_s, more)
-        except ChannelBroken as broken:
+        except ChannelError as broken:
             raise make_failure(broken, is_written=True) from broken
         if data is None:
             break
