--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -54,10 +54,10 @@
 from lycheetide.upstreams import (
     ServiceAnswer,
     ServiceCall,
-    Silence,
+    SilenceTimer,
     UpstreamError,
     call_service,
-    run_watched,
+    run_until_unneeded,
 )
 
 CHART = load_chart("booking")
@@ -423,7 +423,7 @@
         run.admitted.request_id, operation.name, body, run.key.text, fencing_number
     )
     upstream = node.fleet.upstreams[name]
-    silence = Silence()
+    silence = SilenceTimer()
 
     async def work():
         silence.begin(node.settings.silence_s)
@@ -432,10 +432,10 @@
         return answer
 
     async def wait_until_unneeded():
-        while run.waiters or not silence.is_over(now_s=read_clock()):
+        while run.waiters or not silence.has_expired(now_s=read_clock()):
             await anyio.sleep(POLL_INTERVAL_S)
 
-    answer = await run_watched(work, silence, wait_until_unneeded)
+    answer = await run_until_unneeded(work, silence, wait_until_unneeded)
     run.step("answered")
     return answer
 
--- a/lycheetide/node/_lookups.py
+++ b/lycheetide/node/_lookups.py
@@ -22,11 +22,11 @@
 from lycheetide.routing import RetryDecision
 from lycheetide.upstreams import (
     ServiceCall,
-    Silence,
+    SilenceTimer,
     UpstreamError,
-    UpstreamRefused,
+    UpstreamRefusedError,
     call_service,
-    run_watched,
+    run_until_unneeded,
 )
 
 RETRY_AFTER_S = 1.0
@@ -131,7 +131,7 @@
                 raise
         except UpstreamError as error:
             run.attempts += 1
-            if not isinstance(error, UpstreamRefused):
+            if not isinstance(error, UpstreamRefusedError):
                 broken = replicas
                 run.avoid.extend(replicas)
             _check_retry(node, run, error)
@@ -152,7 +152,7 @@
 
 async def _send(node, run, replicas):
     """Send one call; it is cancelled for silence only if there is a successor."""
-    silence = Silence()
+    silence = SilenceTimer()
     call = ServiceCall(run.admitted.request_id, run.operation.name, run.body)
     upstream = node.fleet.upstreams[replicas[0]]
 
@@ -167,7 +167,7 @@
             node, _make_permit_spec(run), replicas, silence, attempts=run.attempts + 1
         )
 
-    return await run_watched(work, silence, seek)
+    return await run_until_unneeded(work, silence, seek)
 
 
 def _check_retry(node, run, error):
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -39,14 +39,14 @@
 from lycheetide.streams import ChunkVerdict, StreamCheck, check_chunk
 from lycheetide.upstreams import (
     EngineCall,
-    Silence,
-    UpstreamBroke,
+    SilenceTimer,
+    UpstreamBrokenError,
+    UpstreamConnectError,
     UpstreamError,
-    UpstreamRefused,
-    UpstreamUnreached,
+    UpstreamRefusedError,
     release_holding,
     reserve_memory,
-    run_watched,
+    run_until_unneeded,
     send_segment,
     stream_answer,
 )
@@ -92,7 +92,7 @@
         Number of attempts that have failed so far.
     avoid : list of str
         Replicas on which an attempt broke.
-    silence : Silence
+    silence : SilenceTimer
         Silence timer of the current attempt's upstreams.
     successor : (HeldPermit, float) or None
         Permit for the next attempt, as ``acquire_permit`` returns it, if the current
@@ -106,7 +106,7 @@
     check: StreamCheck = field(default_factory=lambda: StreamCheck(""))
     attempts: int = 0
     avoid: list[str] = field(default_factory=list)
-    silence: Silence = field(default_factory=Silence)
+    silence: SilenceTimer = field(default_factory=SilenceTimer)
     successor: Any = None
 
     def step(self, event):
@@ -182,7 +182,7 @@
             await _send_until_replaced(node, run, held, emit)
             return
         except UpstreamError as error:
-            if not isinstance(error, UpstreamRefused):
+            if not isinstance(error, UpstreamRefusedError):
                 broken = replicas
             _prepare_retry(node, run, replicas, error)
         finally:
@@ -220,7 +220,7 @@
             _find_reason(error), str(error), retry_after_s=RETRY_AFTER_S, status=502
         ) from error
     node.counters.add_retry(reason)
-    if not isinstance(error, UpstreamRefused):
+    if not isinstance(error, UpstreamRefusedError):
         run.avoid.extend(replicas)
     if CHART.has(run.lifecycle_state, "unsent"):
         run.step("permit_stale")
@@ -230,14 +230,14 @@
 
 def _find_reason(error):
     """Return the reason that is reported to the caller for ``error``."""
-    if isinstance(error, (UpstreamRefused, UpstreamUnreached)):
+    if isinstance(error, (UpstreamRefusedError, UpstreamConnectError)):
         return Reason.UPSTREAM_REFUSED
     return Reason.UPSTREAM_BROKE
 
 
 async def _send_until_replaced(node, run, held, emit):
     """Send one attempt; if it falls silent, end it only once it has a successor."""
-    run.silence = Silence()
+    run.silence = SilenceTimer()
 
     async def seek():
         run.successor = await acquire_successor(
@@ -245,7 +245,7 @@
             attempts=run.attempts + 1,
         )  # fmt: skip
 
-    await run_watched(lambda: _send(node, run, held, emit), run.silence, seek)
+    await run_until_unneeded(lambda: _send(node, run, held, emit), run.silence, seek)
 
 
 async def _send(node, run, held, emit):
@@ -406,7 +406,7 @@
                 if run.lifecycle_state == "sent":
                     run.step("first_token")
                 await emit(Token(chunk.seq, chunk.text))
-    except UpstreamUnreached:
+    except UpstreamConnectError:
         raise
     except UpstreamError as error:
         run.may_have_started = run.may_have_started or error.started_maybe
@@ -415,7 +415,7 @@
         run.may_have_started = True
         raise
     if not whole:
-        raise UpstreamBroke("the answer ended without an end marker")
+        raise UpstreamBrokenError("the answer ended without an end marker")
 
 
 async def check_chunks(node, run, chunks):
@@ -432,7 +432,7 @@
 
     Raises
     ------
-    UpstreamBroke
+    UpstreamBrokenError
         If a token is missing, or the end marker does not follow the last token.
     """
     async for chunk in chunks:
@@ -444,7 +444,7 @@
             return
         elif verdict in (ChunkVerdict.GAP, ChunkVerdict.SHORT):
             node.counters.add(f"chunks.{verdict}")
-            raise UpstreamBroke(f"{verdict}: got token {chunk.seq}, "
+            raise UpstreamBrokenError(f"{verdict}: got token {chunk.seq}, "
                                 f"expected {run.check.next_seq}")  # fmt: skip
         else:
             node.counters.add(f"chunks.{verdict}")
--- a/lycheetide/node/_replica_monitor.py
+++ b/lycheetide/node/_replica_monitor.py
@@ -10,8 +10,8 @@
 from lycheetide.scheduling import find_orphans
 from lycheetide.upstreams import (
     UpstreamError,
+    fetch_boot_id_and_holdings,
     fetch_holdings,
-    fetch_life,
     fetch_report,
     release_holding,
 )
@@ -102,7 +102,9 @@
         return
     asked_s = read_clock()
     try:
-        boot_id, holdings = await fetch_life(node.http, replica.upstream)
+        boot_id, holdings = await fetch_boot_id_and_holdings(
+            node.http, replica.upstream
+        )
     except UpstreamError:
         # A silent replica is detected by its load poll, not here.
         return
--- a/lycheetide/node/_successors.py
+++ b/lycheetide/node/_successors.py
@@ -9,7 +9,7 @@
 from lycheetide.node._state import read_clock
 from lycheetide.outcomes import NotRun, RetryReason
 from lycheetide.routing import RetryDecision, decide_retry
-from lycheetide.upstreams import UpstreamRefused, UpstreamSilent
+from lycheetide.upstreams import UpstreamRefusedError, UpstreamTimeoutError
 
 SEEK_AGAIN_S = 0.5
 
@@ -28,7 +28,7 @@
         The permit that the request needs.
     silent : tuple of str
         Replicas of the current attempt.
-    silence : Silence
+    silence : SilenceTimer
         Their silence timer.
     attempts : int
         Number of attempts, including the current one.
@@ -59,7 +59,7 @@
                 pass
             else:
                 if (
-                    silence.is_over(now_s=read_clock())
+                    silence.has_expired(now_s=read_clock())
                     and not set(held.permit.replicas) & set(silent)
                     and _can_send(node, held, asked_s)
                     and _can_retry(node, spec, attempts, node.budgets.spend_retry)
@@ -135,8 +135,8 @@
 
 def find_retry_reason(error):
     """Return the reason under which a retry after ``error`` is counted."""
-    if isinstance(error, UpstreamRefused):
+    if isinstance(error, UpstreamRefusedError):
         return RetryReason.UPSTREAM_REFUSED
-    if isinstance(error, UpstreamSilent):
+    if isinstance(error, UpstreamTimeoutError):
         return RetryReason.UPSTREAM_SILENT
     return RetryReason.UPSTREAM_BROKE
--- a/lycheetide/node/tests/test_successors.py
+++ b/lycheetide/node/tests/test_successors.py
@@ -13,7 +13,7 @@
 from lycheetide.node._state import HeldPermit, make_cell_index, read_clock
 from lycheetide.outcomes import NotRun, Reason
 from lycheetide.routing import Admitted
-from lycheetide.upstreams import Silence
+from lycheetide.upstreams import SilenceTimer
 
 pytestmark = pytest.mark.anyio
 
@@ -65,7 +65,7 @@
     )
     now_s = read_clock()
     admitted = Admitted("r1", CUSTOMER, None, now_s, now_s + 20.0)
-    silence = Silence()
+    silence = SilenceTimer()
     silence.begin(-1.0)
     with anyio.fail_after(5.0):
         held, _ = await _successors.acquire_successor(
--- a/lycheetide/upstreams/__init__.py
+++ b/lycheetide/upstreams/__init__.py
@@ -3,8 +3,8 @@
 from lycheetide.upstreams._client import make_http_client
 from lycheetide.upstreams._engine import (
     EngineCall,
+    fetch_boot_id_and_holdings,
     fetch_holdings,
-    fetch_life,
     fetch_report,
     release_holding,
     reserve_memory,
@@ -12,33 +12,33 @@
     stream_answer,
 )
 from lycheetide.upstreams._errors import (
-    UpstreamBroke,
+    UpstreamBrokenError,
+    UpstreamConnectError,
     UpstreamError,
-    UpstreamRefused,
-    UpstreamSilent,
-    UpstreamUnreached,
+    UpstreamRefusedError,
+    UpstreamTimeoutError,
 )
 from lycheetide.upstreams._service import ServiceAnswer, ServiceCall, call_service
-from lycheetide.upstreams._silence import Silence, run_watched
+from lycheetide.upstreams._silence import SilenceTimer, run_until_unneeded
 
 __all__ = [
     "EngineCall",
     "ServiceAnswer",
     "ServiceCall",
-    "Silence",
-    "UpstreamBroke",
+    "SilenceTimer",
+    "UpstreamBrokenError",
+    "UpstreamConnectError",
     "UpstreamError",
-    "UpstreamRefused",
-    "UpstreamSilent",
-    "UpstreamUnreached",
+    "UpstreamRefusedError",
+    "UpstreamTimeoutError",
     "call_service",
+    "fetch_boot_id_and_holdings",
     "fetch_holdings",
-    "fetch_life",
     "fetch_report",
     "make_http_client",
     "release_holding",
     "reserve_memory",
-    "run_watched",
+    "run_until_unneeded",
     "send_segment",
     "stream_answer",
 ]
--- a/lycheetide/upstreams/_client.py
+++ b/lycheetide/upstreams/_client.py
@@ -6,10 +6,10 @@
 import httpx
 
 from lycheetide.upstreams._errors import (
-    UpstreamBroke,
-    UpstreamRefused,
-    UpstreamSilent,
-    UpstreamUnreached,
+    UpstreamBrokenError,
+    UpstreamConnectError,
+    UpstreamRefusedError,
+    UpstreamTimeoutError,
 )
 
 NEVER_RETRY = 0
@@ -62,11 +62,11 @@
     try:
         yield
     except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-        raise UpstreamUnreached(repr(error)) from error
+        raise UpstreamConnectError(repr(error)) from error
     except httpx.ReadTimeout as error:
-        raise UpstreamSilent(repr(error)) from error
+        raise UpstreamTimeoutError(repr(error)) from error
     except CONNECTION_ERRORS as error:
-        raise UpstreamBroke(repr(error)) from error
+        raise UpstreamBrokenError(repr(error)) from error
 
 
 def raise_for_error(response, body):
@@ -81,13 +81,13 @@
 
     Raises
     ------
-    UpstreamRefused
+    UpstreamRefusedError
         If the body says that the request was not started.
-    UpstreamBroke
+    UpstreamBrokenError
         For any other error status.
     """
     if response.status_code < 400:
         return
     if isinstance(body, dict) and body.get("started") is False:
-        raise UpstreamRefused(str(body.get("error", response.status_code)))
-    raise UpstreamBroke(f"status {response.status_code}")
+        raise UpstreamRefusedError(str(body.get("error", response.status_code)))
+    raise UpstreamBrokenError(f"status {response.status_code}")
--- a/lycheetide/upstreams/_engine.py
+++ b/lycheetide/upstreams/_engine.py
@@ -8,7 +8,7 @@
 from lycheetide.scheduling import HeldMemory, LoadReport
 from lycheetide.streams import parse_chunk
 from lycheetide.upstreams._client import raise_for_error, translate_errors
-from lycheetide.upstreams._errors import UpstreamBroke
+from lycheetide.upstreams._errors import UpstreamBrokenError
 
 CONTROL_TIMEOUT_S = 2.0
 NO_READ_TIMEOUT = httpx.Timeout(CONTROL_TIMEOUT_S, read=None, write=None)
@@ -76,11 +76,11 @@
 
 
 def _decode_json(content):
-    """Decode JSON; raise ``UpstreamBroke`` if it is malformed."""
+    """Decode JSON; raise ``UpstreamBrokenError`` if it is malformed."""
     try:
         return msgspec.json.decode(content)
     except msgspec.MsgspecError as error:
-        raise UpstreamBroke(f"not JSON: {error}") from error
+        raise UpstreamBrokenError(f"not JSON: {error}") from error
 
 
 async def fetch_report(http, upstream):
@@ -90,7 +90,7 @@
     try:
         return msgspec.convert(known_fields, LoadReport)
     except msgspec.ValidationError as error:
-        raise UpstreamBroke(str(error)) from error
+        raise UpstreamBrokenError(str(error)) from error
 
 
 _REPORT_FIELDS = (
@@ -105,11 +105,11 @@
 
 async def fetch_holdings(http, upstream):
     """Return all memory holdings of an engine."""
-    _, holdings = await fetch_life(http, upstream)
+    _, holdings = await fetch_boot_id_and_holdings(http, upstream)
     return holdings
 
 
-async def fetch_life(http, upstream):
+async def fetch_boot_id_and_holdings(http, upstream):
     """Return the boot id of an engine and all its memory holdings.
 
     The boot id identifies the run of the engine process since its last start.
@@ -160,7 +160,7 @@
         The request to send.
     first_s, between_s : float
         The maximum silence before the first token and between tokens.
-    silence : Silence
+    silence : SilenceTimer
         Records when the call waits for the engine.
     on_accepted : callable
         Called with the holding id and the boot id when the engine has accepted the
@@ -213,4 +213,4 @@
     try:
         return parse_chunk(line[len(EVENT_DATA_PREFIX) :])
     except msgspec.MsgspecError as error:
-        raise UpstreamBroke(f"malformed chunk: {error}") from error
+        raise UpstreamBrokenError(f"malformed chunk: {error}") from error
--- a/lycheetide/upstreams/_errors.py
+++ b/lycheetide/upstreams/_errors.py
@@ -13,24 +13,24 @@
     started_maybe = True
 
 
-class UpstreamUnreached(UpstreamError):
+class UpstreamConnectError(UpstreamError):
     """No connection could be opened, so nothing of the request was sent."""
 
     started_maybe = False
 
 
-class UpstreamRefused(UpstreamError):
+class UpstreamRefusedError(UpstreamError):
     """The upstream reported that it did not start the request."""
 
     started_maybe = False
 
 
-class UpstreamBroke(UpstreamError):
+class UpstreamBrokenError(UpstreamError):
     """The connection broke, or the response was malformed or reported an error.
 
     The request may have been sent, and the upstream may have run it.
     """
 
 
-class UpstreamSilent(UpstreamError):
+class UpstreamTimeoutError(UpstreamError):
     """The upstream sent nothing for too long after it got the request."""
--- a/lycheetide/upstreams/_service.py
+++ b/lycheetide/upstreams/_service.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lycheetide.upstreams._client import raise_for_error, translate_errors
-from lycheetide.upstreams._errors import UpstreamBroke
+from lycheetide.upstreams._errors import UpstreamBrokenError
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
     try:
         body = msgspec.json.decode(response.content)
     except msgspec.MsgspecError as error:
-        raise UpstreamBroke(f"not JSON: {error}") from error
+        raise UpstreamBrokenError(f"not JSON: {error}") from error
     if response.status_code >= 500 or _is_refusal(body):
         raise_for_error(response, body)
     return ServiceAnswer(response.status_code, body)
--- a/lycheetide/upstreams/_silence.py
+++ b/lycheetide/upstreams/_silence.py
@@ -6,10 +6,10 @@
 
 import anyio
 
-from lycheetide.upstreams._errors import UpstreamSilent
+from lycheetide.upstreams._errors import UpstreamTimeoutError
 
 
-class Silence:
+class SilenceTimer:
     """Tracks how long a call has been waiting for its upstream.
 
     The call invokes ``begin`` before each wait and ``end`` after it. It can be
@@ -44,17 +44,19 @@
 
         Raises
         ------
-        UpstreamSilent
+        UpstreamTimeoutError
             If the call was abandoned already. Data that arrives too late is dropped
             here; otherwise it would be counted and then lost at the next await, where
             this call is cancelled.
         """
         if self.is_abandoned:
-            raise UpstreamSilent("the upstream answered after the call was abandoned")
+            raise UpstreamTimeoutError(
+                "the upstream answered after the call was abandoned"
+            )
         self._deadline_s = self._limit_scope.deadline = math.inf
         self._unneeded_scope.cancel()
 
-    def is_over(self, *, now_s):
+    def has_expired(self, *, now_s):
         """Return whether the present wait has exceeded its limit."""
         return now_s >= self._deadline_s
 
@@ -72,16 +74,16 @@
         while not self.is_abandoned:
             with anyio.CancelScope(deadline=self._deadline_s) as self._limit_scope:
                 await anyio.sleep_forever()
-            if not self.is_over(now_s=anyio.current_time()):
+            if not self.has_expired(now_s=anyio.current_time()):
                 continue
             with anyio.CancelScope() as self._unneeded_scope:
                 await wait_until_unneeded()
                 self.is_abandoned = True
 
 
-async def run_watched(
+async def run_until_unneeded(
     work: Callable[[], Awaitable[Any]],
-    silence: Silence,
+    silence: SilenceTimer,
     wait_until_unneeded: Callable[[], Awaitable[None]],
 ):
     """Run a call and cancel it when its upstream is silent and it is no longer needed.
@@ -94,7 +96,7 @@
     ----------
     work : callable
         A coroutine function that makes the call.
-    silence : Silence
+    silence : SilenceTimer
         The waits of ``work``, which calls ``begin`` and ``end`` on it.
     wait_until_unneeded : callable
         A coroutine function that returns when the call is no longer needed. Before it
@@ -108,7 +110,7 @@
 
     Raises
     ------
-    UpstreamSilent
+    UpstreamTimeoutError
         If the call was cancelled.
     """
     result: Any = None
@@ -129,7 +131,7 @@
         group.cancel_scope.shield = True
         group.cancel_scope.cancel()
     if silence.is_abandoned:
-        raise UpstreamSilent("the upstream sent nothing for too long")
+        raise UpstreamTimeoutError("the upstream sent nothing for too long")
     if error is not None:
         raise error
     return result
--- a/lycheetide/upstreams/tests/test_client.py
+++ b/lycheetide/upstreams/tests/test_client.py
@@ -6,10 +6,10 @@
 from lycheetide.fleet import Upstream
 from lycheetide.upstreams import (
     ServiceCall,
-    UpstreamBroke,
-    UpstreamRefused,
-    UpstreamSilent,
-    UpstreamUnreached,
+    UpstreamBrokenError,
+    UpstreamConnectError,
+    UpstreamRefusedError,
+    UpstreamTimeoutError,
     call_service,
     make_http_client,
 )
@@ -68,12 +68,12 @@
 @pytest.mark.parametrize(
     ("answer", "error", "started_maybe"),
     [
-        (b"", UpstreamBroke, True),
-        (None, UpstreamSilent, True),
-        (make_answer(500, b"{}"), UpstreamBroke, True),
-        (make_answer(200, b"no json"), UpstreamBroke, True),
-        (make_answer(200, b'{"a"')[:-2], UpstreamBroke, True),
-        (make_answer(503, REFUSAL), UpstreamRefused, False),
+        (b"", UpstreamBrokenError, True),
+        (None, UpstreamTimeoutError, True),
+        (make_answer(500, b"{}"), UpstreamBrokenError, True),
+        (make_answer(200, b"no json"), UpstreamBrokenError, True),
+        (make_answer(200, b'{"a"')[:-2], UpstreamBrokenError, True),
+        (make_answer(503, REFUSAL), UpstreamRefusedError, False),
     ],
 )
 def test_failed_call_is_sent_once_and_error_tells_whether_it_may_have_started(
@@ -92,6 +92,6 @@
 
 
 def test_service_that_does_not_listen_is_reported_as_unreached():
-    with pytest.raises(UpstreamUnreached) as raised:
+    with pytest.raises(UpstreamConnectError) as raised:
         run_call(b"", requests=[], listens=False)
     assert raised.value.started_maybe is False
--- a/lycheetide/upstreams/tests/test_silence.py
+++ b/lycheetide/upstreams/tests/test_silence.py
@@ -4,7 +4,7 @@
 import anyio.lowlevel
 import pytest
 
-from lycheetide.upstreams import Silence, UpstreamSilent, run_watched
+from lycheetide.upstreams import SilenceTimer, UpstreamTimeoutError, run_until_unneeded
 
 LIMIT_S = 0.05
 
@@ -18,7 +18,7 @@
 
 async def test_silent_call_without_replacement_continues():
     """No replacement is available, and the upstream answers late."""
-    silence = Silence()
+    silence = SilenceTimer()
 
     async def work():
         silence.begin(LIMIT_S)
@@ -26,12 +26,12 @@
         silence.end()
         return "late"
 
-    assert await run_watched(work, silence, anyio.sleep_forever) == "late"
+    assert await run_until_unneeded(work, silence, anyio.sleep_forever) == "late"
 
 
 async def test_silent_call_with_replacement_is_cancelled():
     """The upstream is gone; the caller must not have to wait for its deadline."""
-    silence = Silence()
+    silence = SilenceTimer()
 
     async def work():
         silence.begin(LIMIT_S)
@@ -40,13 +40,13 @@
     async def wait_until_unneeded():
         await anyio.sleep(LIMIT_S)
 
-    with anyio.fail_after(40 * LIMIT_S), pytest.raises(UpstreamSilent):
-        await run_watched(work, silence, wait_until_unneeded)
+    with anyio.fail_after(40 * LIMIT_S), pytest.raises(UpstreamTimeoutError):
+        await run_until_unneeded(work, silence, wait_until_unneeded)
 
 
 async def test_call_continues_when_upstream_resumes():
     """The search for a replacement is cancelled, and starts anew at each silence."""
-    silence = Silence()
+    silence = SilenceTimer()
     searches = []
 
     async def work():
@@ -60,13 +60,13 @@
         searches.append(True)
         await anyio.sleep(10 * LIMIT_S)
 
-    assert await run_watched(work, silence, wait_until_unneeded) == "whole"
+    assert await run_until_unneeded(work, silence, wait_until_unneeded) == "whole"
     assert len(searches) == 3
 
 
 async def test_slow_reader_does_not_count_as_silence():
     """The caller reads slowly and blocks the call; the upstream is not at fault."""
-    silence = Silence()
+    silence = SilenceTimer()
 
     async def work():
         silence.begin(LIMIT_S)
@@ -74,7 +74,7 @@
         await anyio.sleep(4 * LIMIT_S)
         return "whole"
 
-    assert await run_watched(work, silence, anyio.lowlevel.checkpoint) == "whole"
+    assert await run_until_unneeded(work, silence, anyio.lowlevel.checkpoint) == "whole"
 
 
 async def test_data_received_after_abandonment_is_dropped_before_it_is_counted():
@@ -83,7 +83,7 @@
     If it were counted and then lost at the next await, the caller's answer would have
     a gap.
     """
-    silence = Silence()
+    silence = SilenceTimer()
     arrival = anyio.Event()
     counted = []
 
@@ -97,8 +97,8 @@
     async def wait_until_unneeded():
         arrival.set()
 
-    with pytest.raises(UpstreamSilent):
-        await run_watched(work, silence, wait_until_unneeded)
+    with pytest.raises(UpstreamTimeoutError):
+        await run_until_unneeded(work, silence, wait_until_unneeded)
     assert counted == []
 
 
@@ -109,7 +109,7 @@
         raise ValueError("broken")
 
     with pytest.raises(ValueError, match="broken"):
-        await run_watched(work, Silence(), anyio.sleep_forever)
+        await run_until_unneeded(work, SilenceTimer(), anyio.sleep_forever)
 
 
 async def test_result_is_kept_when_the_deadline_passes_at_the_same_moment():
@@ -124,5 +124,5 @@
             deadline.cancel()
             return "whole"
 
-        result = await run_watched(work, Silence(), anyio.sleep_forever)
+        result = await run_until_unneeded(work, SilenceTimer(), anyio.sleep_forever)
     assert result == "whole"
