--- a/lycheetide/exchange/__init__.py
+++ b/lycheetide/exchange/__init__.py
@@ -1,13 +1,13 @@
 """Protocol-independent types of requests, answers and store records."""
 
-from lycheetide.exchange._records import Batch, Record, StoreUnavailable
-from lycheetide.exchange._types import Answer, CallerRequest, Load
+from lycheetide.exchange._records import Record, RecordBatch, StoreUnavailable
+from lycheetide.exchange._types import CallerRequest, ReplicaResponse, ReportedLoad
 
 __all__ = [
-    "Answer",
-    "Batch",
     "CallerRequest",
-    "Load",
     "Record",
+    "RecordBatch",
+    "ReplicaResponse",
+    "ReportedLoad",
     "StoreUnavailable",
 ]
--- a/lycheetide/exchange/_records.py
+++ b/lycheetide/exchange/_records.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Batch:
+class RecordBatch:
     """Result of a read.
 
     Parameters
--- a/lycheetide/exchange/_types.py
+++ b/lycheetide/exchange/_types.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class ReportedLoad:
     """Load that a replica reported.
 
     Parameters
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class ReplicaResponse:
     """Head of a replica's response.
 
     Parameters
@@ -88,7 +88,7 @@
         Whether another replica uses the address now.
     at_fault : str
         The replica that did not answer the responding one; empty if there is none.
-    load : Load or None
+    load : ReportedLoad or None
         The load that the replica reported.
     cold_s : float
         Remaining time for which the replica reports to be cold.
@@ -103,6 +103,6 @@
     is_unstarted: bool
     is_other_replica: bool
     at_fault: str
-    load: Load | None
+    load: ReportedLoad | None
     cold_s: float
     headers: tuple[tuple[bytes, bytes], ...]
--- a/lycheetide/platform/_requests.py
+++ b/lycheetide/platform/_requests.py
@@ -1,6 +1,6 @@
 """Decode callers' requests and replicas' responses; encode requests to replicas."""
 
-from lycheetide.exchange import Answer, CallerRequest, Load
+from lycheetide.exchange import CallerRequest, ReplicaResponse, ReportedLoad
 from lycheetide.httpclient import OutgoingRequest
 
 READY_PATH = "/-/ready"
@@ -183,7 +183,7 @@
     parts = text.split(b",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
-    return Load(*(int(part) for part in parts))
+    return ReportedLoad(*(int(part) for part in parts))
 
 
 def decode_answer(head):
@@ -196,12 +196,12 @@
 
     Returns
     -------
-    Answer
+    ReplicaResponse
         The decoded head.
     """
     headers = head.headers
     unstarted = head.status == 421 or bool(_find_header(headers, NOT_EXECUTED))
-    return Answer(
+    return ReplicaResponse(
         status=head.status,
         attempt_id=_find_header(headers, ATTEMPT_ID).decode("latin-1"),
         is_sealed=bool(_find_header(headers, SEAL)),
--- a/lycheetide/platform/_store.py
+++ b/lycheetide/platform/_store.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lycheetide.exchange import Batch, Record, StoreUnavailable
+from lycheetide.exchange import Record, RecordBatch, StoreUnavailable
 from lycheetide.httpclient import (
     Channel,
     ChannelConnectError,
@@ -70,7 +70,7 @@
         self._note_call = note_call
         self._channel = None
 
-    async def read(self, topic, offset, *, wait_s, timeout_s) -> Batch:
+    async def read(self, topic, offset, *, wait_s, timeout_s) -> RecordBatch:
         """Return the records from an offset on, or a listing if they have expired.
 
         Parameters
@@ -108,9 +108,9 @@
         except RecordFormatError as error:
             raise StoreUnavailable(str(error)) from error
         next_offset = records[-1].offset + 1 if records else max(end, offset)
-        return Batch(records, next_offset)
+        return RecordBatch(records, next_offset)
 
-    async def list(self, topic, *, timeout_s) -> Batch:
+    async def list(self, topic, *, timeout_s) -> RecordBatch:
         """Return the newest record of each key.
 
         Raises
@@ -138,7 +138,7 @@
                 # first page are read again, starting from the end offset of that page.
                 first_page_end = page.end
             if not page.more or not page.items:
-                return Batch(tuple(records), first_page_end, is_listing=True)
+                return RecordBatch(tuple(records), first_page_end, is_listing=True)
             after = page.items[-1].key
 
     async def append(self, topic, key, value, *, timeout_s):
--- a/lycheetide/relay/_apply_records.py
+++ b/lycheetide/relay/_apply_records.py
@@ -30,7 +30,7 @@
         State of this node.
     name : str
         Topic, "operator" or "registry".
-    batch : Batch
+    batch : RecordBatch
         Records that were read.
     now_s : float
         Current time.
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lycheetide.exchange import Answer
+from lycheetide.exchange import ReplicaResponse
 from lycheetide.gossip import Ended, JobPart, Started, make_job, make_sent_ms
 from lycheetide.httpclient import ChannelConnectError, ChannelError, compute_idle_limit
 from lycheetide.placement import Placement
@@ -28,7 +28,7 @@
     """A request at one replica after the head of its answer was read."""
 
     channel: Any
-    answer: Answer
+    answer: ReplicaResponse
     placement: Placement
 
 
--- a/lycheetide/relay/_buffered.py
+++ b/lycheetide/relay/_buffered.py
@@ -1,6 +1,6 @@
 """Serve a request whose answer is short and is sent as a whole."""
 
-from lycheetide.exchange import Answer
+from lycheetide.exchange import ReplicaResponse
 from lycheetide.httpclient import ChannelError
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._evidence import record_failed_attempt
@@ -36,7 +36,7 @@
     Refusal
         If no replica answered.
     """
-    last_answer: tuple[Answer, bytes] | None = None
+    last_answer: tuple[ReplicaResponse, bytes] | None = None
     while True:
         if last_answer is None:
             placement = await choose_placement(
--- a/lycheetide/relay/_peer_state.py
+++ b/lycheetide/relay/_peer_state.py
@@ -3,7 +3,7 @@
 import anyio
 import msgspec
 
-from lycheetide.exchange import Batch
+from lycheetide.exchange import RecordBatch
 from lycheetide.httpclient import ChannelConnectError, ChannelError, OutgoingRequest
 from lycheetide.relay._apply_records import apply_batch
 from lycheetide.relay._state import read_clock
@@ -95,7 +95,7 @@
     )
     if head.status != 200:
         raise ChannelError(f"{address}: status {head.status}")
-    return msgspec.msgpack.decode(data, type=Batch)
+    return msgspec.msgpack.decode(data, type=RecordBatch)
 
 
 def compute_size_limit_bytes(relay):
@@ -122,7 +122,7 @@
         status, body = 404, b""
         if name is not None:
             source = getattr(relay, name)
-            batch = Batch(tuple(source.records.values()), source.offset, True)
+            batch = RecordBatch(tuple(source.records.values()), source.offset, True)
             status, body = 200, msgspec.msgpack.encode(batch)
             force = scope["query_string"] == FORCE_QUERY[1:]
             if not force and len(body) > compute_size_limit_bytes(relay):
--- a/lycheetide/relay/_roles.py
+++ b/lycheetide/relay/_roles.py
@@ -8,7 +8,7 @@
 themselves.
 """
 
-from lycheetide.exchange import Batch, Record
+from lycheetide.exchange import Record, RecordBatch
 from lycheetide.gossip import Peer, RegistryUpdate
 
 HUB_MAX_AGE_S = 1.1
@@ -132,7 +132,7 @@
 def decode_change_message(message):
     """Return a message's records as a batch that makes no claim about other records."""
     records = tuple(Record(*row) for row in message.records)
-    return Batch(records, 0)
+    return RecordBatch(records, 0)
 
 
 def compare_digests(relay, heartbeat, *, now_s):
--- a/lycheetide/relay/tests/test_start.py
+++ b/lycheetide/relay/tests/test_start.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from lycheetide.exchange import Batch, Record
+from lycheetide.exchange import Record, RecordBatch
 from lycheetide.relay._apply_records import (
     PEERS_SETTLED_S,
     STARTUP_S,
@@ -27,7 +27,7 @@
         Record(100 + place, replica.name, encode_entry(replica, state))
         for place, replica in enumerate(replicas)
     )
-    return Batch(records, 100 + count, is_listing=True)
+    return RecordBatch(records, 100 + count, is_listing=True)
 
 
 def encode_entry(replica, state):
@@ -65,7 +65,7 @@
     leaves = make_listing(1, state="draining")
     (record,) = leaves.records
     later = Record(500, record.key, record.value)
-    apply_batch(relay, "registry", Batch((later,), 501), now_s=time.monotonic())
+    apply_batch(relay, "registry", RecordBatch((later,), 501), now_s=time.monotonic())
     (message,) = messages
     assert [row[1] for row in message.records] == ["r-0"]
 
@@ -79,7 +79,7 @@
     (record,) = make_listing(1, first=7).records
     later = Record(500, record.key, record.value)
     relay.peers.last_new_peer_s = time.monotonic()
-    apply_batch(relay, "registry", Batch((later,), 501), now_s=time.monotonic())
+    apply_batch(relay, "registry", RecordBatch((later,), 501), now_s=time.monotonic())
     assert messages == []
 
 
