--- a/lycheetide/limits/__init__.py
+++ b/lycheetide/limits/__init__.py
@@ -1,5 +1,10 @@
 """Limits that apply to each customer separately."""
 
-from lycheetide.limits._budget import Bucket, CustomerBudgets, refill, spend
+from lycheetide.limits._budget import (
+    CustomerRetryBudgets,
+    TokenBucket,
+    refill,
+    take_token,
+)
 
-__all__ = ["Bucket", "CustomerBudgets", "refill", "spend"]
+__all__ = ["CustomerRetryBudgets", "TokenBucket", "refill", "take_token"]
--- a/lycheetide/limits/_budget.py
+++ b/lycheetide/limits/_budget.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class Bucket:
+class TokenBucket:
     """The state of a token bucket at one time.
 
     Parameters
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    bucket : Bucket
+    bucket : TokenBucket
         Earlier state of the bucket.
     rate_per_s : float
         Tokens added per second.
@@ -39,23 +39,23 @@
 
     Returns
     -------
-    Bucket
+    TokenBucket
 
     Examples
     --------
-    >>> refill(Bucket(0.0, 10.0), rate_per_s=2.0, burst=5.0, now_s=11.0)
-    Bucket(level=2.0, at_s=11.0)
+    >>> refill(TokenBucket(0.0, 10.0), rate_per_s=2.0, burst=5.0, now_s=11.0)
+    TokenBucket(level=2.0, at_s=11.0)
     """
     elapsed_s = max(0.0, now_s - bucket.at_s)
-    return Bucket(min(burst, bucket.level + rate_per_s * elapsed_s), now_s)
+    return TokenBucket(min(burst, bucket.level + rate_per_s * elapsed_s), now_s)
 
 
-def spend(bucket, *, rate_per_s, burst, now_s):
+def take_token(bucket, *, rate_per_s, burst, now_s):
     """Take one token from the bucket; parameters as in ``refill``.
 
     Returns
     -------
-    bucket : Bucket
+    bucket : TokenBucket
         State of the bucket afterwards.
     allowed : bool
         Whether there was a token to take.
@@ -63,10 +63,10 @@
     refilled = refill(bucket, rate_per_s=rate_per_s, burst=burst, now_s=now_s)
     if refilled.level < 1:
         return refilled, False
-    return Bucket(refilled.level - 1, now_s), True
+    return TokenBucket(refilled.level - 1, now_s), True
 
 
-class CustomerBudgets:
+class CustomerRetryBudgets:
     """Retry budgets of all customers at one node.
 
     Attributes
@@ -118,8 +118,8 @@
 
     def _spend(self, customer, now_s):
         """Return the customer's bucket after one retry, and whether it is allowed."""
-        start = Bucket(customer.retry_burst, now_s)
-        return spend(
+        start = TokenBucket(customer.retry_burst, now_s)
+        return take_token(
             self._buckets.get(customer.name, start),
             rate_per_s=customer.retries_per_s,
             burst=customer.retry_burst,
--- a/lycheetide/limits/tests/test_budget.py
+++ b/lycheetide/limits/tests/test_budget.py
@@ -1,7 +1,7 @@
 """Tests of the retry budgets per customer."""
 
 from lycheetide.fleet import Customer
-from lycheetide.limits import CustomerBudgets
+from lycheetide.limits import CustomerRetryBudgets
 
 KESTREL = Customer("kestrel", "0" * 64, retries_per_s=1.0, retry_burst=3.0)
 PARISH = Customer("parish", "1" * 64, retries_per_s=1.0, retry_burst=3.0)
@@ -9,7 +9,7 @@
 
 def test_one_customers_retries_leave_anothers_alone():
     """One customer's requests fail repeatedly, another's request fails once."""
-    budgets = CustomerBudgets()
+    budgets = CustomerRetryBudgets()
     allowed = [budgets.spend_retry(KESTREL, now_s=0.0) for _ in range(10)]
     assert allowed == [True] * 3 + [False] * 7
     assert budgets.spend_retry(PARISH, now_s=0.0)
@@ -23,7 +23,7 @@
 
     A request that only waits for another replica would use up its customer's retries.
     """
-    budgets = CustomerBudgets()
+    budgets = CustomerRetryBudgets()
     assert all(budgets.has_retry(KESTREL, now_s=0.0) for _ in range(10))
     assert [budgets.spend_retry(KESTREL, now_s=0.0) for _ in range(4)] == [
         True, True, True, False,
--- a/lycheetide/metrics/_logs.py
+++ b/lycheetide/metrics/_logs.py
@@ -13,7 +13,7 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from lycheetide.limits import Bucket, spend
+from lycheetide.limits import TokenBucket, take_token
 
 COMPONENT_PREFIXES = {
     "node": "Node: ",
@@ -69,13 +69,13 @@
         self.file = file
         self.lines_per_s = lines_per_s
         self.left_out = 0
-        self._bucket = Bucket(lines_per_s * BURST_S, 0.0)
+        self._bucket = TokenBucket(lines_per_s * BURST_S, 0.0)
         self._poll = select.poll()
         self._poll.register(file.fileno(), select.POLLOUT)
 
     def emit(self, record):
         """Write a record, or count it as dropped."""
-        self._bucket, allowed = spend(
+        self._bucket, allowed = take_token(
             self._bucket,
             rate_per_s=self.lines_per_s,
             burst=self.lines_per_s * BURST_S,
--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -10,7 +10,7 @@
 
 from lycheetide.charts import load_chart
 from lycheetide.fleet import ConfigState
-from lycheetide.limits import CustomerBudgets
+from lycheetide.limits import CustomerRetryBudgets
 from lycheetide.membership import Member, Membership
 from lycheetide.metrics import Counters, Explanations, make_statsd
 from lycheetide.peers import PeerClient
@@ -139,7 +139,7 @@
             make_statsd(settings.statsd_address, settings.statsd_prefix)
         )
         self.request_traces = Explanations()
-        self.budgets = CustomerBudgets()
+        self.budgets = CustomerRetryBudgets()
         self.active = {}
         self.standstill = Standstill()
         self.tasks = None
--- a/lycheetide/node/tests/test_successors.py
+++ b/lycheetide/node/tests/test_successors.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lycheetide.fleet import Customer, FailureDomain, Fleet, Upstream
-from lycheetide.limits import CustomerBudgets
+from lycheetide.limits import CustomerRetryBudgets
 from lycheetide.metrics import Counters
 from lycheetide.node import _successors
 from lycheetide.node._permits import PermitSpec
@@ -39,7 +39,7 @@
     return SimpleNamespace(
         fleet=fleet,
         get_cell_index=lambda: make_cell_index(fleet, "munster"),
-        budgets=CustomerBudgets(),
+        budgets=CustomerRetryBudgets(),
         counters=Counters(None),
         note=lambda *_, **__: None,
         is_fresh=lambda *, now_s: True,
