--- a/lycheetide/node/_booking_forwarding.py
+++ b/lycheetide/node/_booking_forwarding.py
@@ -32,7 +32,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     operation : Operation
         The operation to call.
--- a/lycheetide/node/_booking_handlers.py
+++ b/lycheetide/node/_booking_handlers.py
@@ -9,7 +9,7 @@
 from lycheetide.node._state import read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
 from lycheetide.peers import BookingReply, BookingStatus
-from lycheetide.routing import Admitted
+from lycheetide.routing import AdmittedRequest
 
 
 async def query_booking(node, request):
@@ -61,7 +61,7 @@
         )
         return make_error_reply(make_refused_key_error(error))
     now_s = read_clock()
-    admitted = Admitted(
+    admitted = AdmittedRequest(
         request.request_id, customer, request_class, now_s,
         now_s + request.left_ms / 1000,
     )  # fmt: skip
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -82,7 +82,7 @@
         The idempotency key.
     body_hash : str
         Hash of the operation and the body.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The first request with this key.
     claim : Claim
         This node's claim on the key.
@@ -130,7 +130,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     operation : Operation
         The operation to call.
@@ -442,7 +442,7 @@
 
 def _handle_upstream_error(node, run, error, attempts):
     """Raise the error for the caller unless the call may be sent again."""
-    if error.started_maybe:
+    if error.may_have_started:
         run.step("broke")
         raise OutcomeUnknown(
             Reason.UPSTREAM_BROKE,
@@ -453,7 +453,7 @@
     now_s = read_clock()
     decision = decide_retry(
         attempts=attempts,
-        started_maybe=False,
+        may_have_started=False,
         repeatable=False,
         left_s=run.admitted.deadline_s - now_s,
         spend=lambda: node.budgets.spend_retry(run.admitted.customer, now_s=now_s),
--- a/lycheetide/node/_caller_api.py
+++ b/lycheetide/node/_caller_api.py
@@ -23,12 +23,12 @@
 from lycheetide.node._state import STALL_RECOVERY_S, generate_id, read_clock
 from lycheetide.outcomes import NotRun, Reason, RequestError
 from lycheetide.routing import (
-    Admitted,
+    AdmittedRequest,
     authenticate,
     check_body_size,
-    count_tokens,
-    find_class,
+    estimate_tokens,
     find_deadline,
+    find_request_class,
 )
 
 DONE_EVENT = b"data: [DONE]\n\n"
@@ -91,11 +91,11 @@
     customer = authenticate(
         headers.get("authorization", ""), node.fleet.customers.values()
     )
-    request_class = find_class(headers.get("x-class", ""), node.fleet.classes)
+    request_class = find_request_class(headers.get("x-class", ""), node.fleet.classes)
     deadline_s = find_deadline(
         headers.get("x-deadline-ms", ""), request_class, now_s=now_s
     )
-    return Admitted(request_id, customer, request_class, now_s, deadline_s)
+    return AdmittedRequest(request_id, customer, request_class, now_s, deadline_s)
 
 
 def find_recovery_wait_s(headers):
@@ -144,7 +144,7 @@
             f"expected from 1 to {MAX_ANSWER_TOKENS}",
             status=400,
         )
-    tokens = count_tokens(parsed.prompt)
+    tokens = estimate_tokens(parsed.prompt)
     if tokens > model.max_prompt_tokens:
         raise NotRun(
             Reason.PROMPT_TOO_LONG,
@@ -322,7 +322,7 @@
         node.note(
             request_id, "The request was admitted.",
             customer=admitted.customer.name, request_class=admitted.request_class.name,
-            tokens=count_tokens(prompt.text),
+            tokens=estimate_tokens(prompt.text),
         )  # fmt: skip
         answer = start_answer(node, admitted, prompt)
         if not parsed.stream:
@@ -349,7 +349,7 @@
             "model": parsed.model,
             "choices": [{"text": "".join(texts), "finish_reason": "length"}],
             "usage": {
-                "prompt_tokens": count_tokens(parsed.prompt),
+                "prompt_tokens": estimate_tokens(parsed.prompt),
                 "completion_tokens": len(texts),
             },
         }
--- a/lycheetide/node/_lookups.py
+++ b/lycheetide/node/_lookups.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     operation : Operation
         The operation to call.
@@ -73,7 +73,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     operation : Operation
         The operation to call.
@@ -127,7 +127,7 @@
             try:
                 return await _send(node, run, replicas)
             except UpstreamError as error:
-                run.may_have_started = was_started or error.started_maybe
+                run.may_have_started = was_started or error.may_have_started
                 raise
         except UpstreamError as error:
             run.attempts += 1
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The admitted request.
     serves : str
         The model or service that a replica must serve.
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -32,7 +32,7 @@
 )
 from lycheetide.routing import (
     RetryDecision,
-    count_tokens,
+    estimate_tokens,
     make_prefix_key,
     split_prompt,
 )
@@ -78,7 +78,7 @@
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The admitted request.
     prompt : Prompt
         The prompt.
@@ -129,7 +129,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The admitted request.
     prompt : Prompt
         The prompt.
@@ -196,7 +196,7 @@
     return PermitSpec(
         admitted=admitted,
         serves=prompt.model,
-        prompt_tokens=count_tokens(prompt.text),
+        prompt_tokens=estimate_tokens(prompt.text),
         answer_tokens=prompt.max_tokens,
         prefix_key=make_prefix_key(admitted.customer.name, prompt.model, prompt.text),
         avoid=tuple(run.avoid),
@@ -206,7 +206,7 @@
 
 def _prepare_retry(node, run, replicas, error):
     """Prepare another attempt after ``error``, or raise if none is allowed."""
-    run.may_have_started = run.may_have_started or error.started_maybe
+    run.may_have_started = run.may_have_started or error.may_have_started
     run.attempts += 1
     decision = decide_next_attempt(node, run, error)
     reason = find_retry_reason(error)
@@ -359,7 +359,7 @@
 
 def _find_read_timeout_s(node, upstream, text):
     """Return how long a text's prefill may take before the engine counts as silent."""
-    read_s = count_tokens(text) / upstream.prefill_tokens_per_s
+    read_s = estimate_tokens(text) / upstream.prefill_tokens_per_s
     return node.settings.silence_s + PREFILL_TIMEOUT_FACTOR * read_s
 
 
@@ -409,7 +409,7 @@
     except UpstreamConnectError:
         raise
     except UpstreamError as error:
-        run.may_have_started = run.may_have_started or error.started_maybe
+        run.may_have_started = run.may_have_started or error.may_have_started
         raise
     except BaseException:
         run.may_have_started = True
--- a/lycheetide/node/_successors.py
+++ b/lycheetide/node/_successors.py
@@ -98,7 +98,7 @@
     now_s = read_clock()
     decision = decide_retry(
         attempts=attempts,
-        started_maybe=True,
+        may_have_started=True,
         repeatable=True,
         left_s=admitted.deadline_s - now_s,
         spend=lambda: spend(admitted.customer, now_s=now_s),
@@ -126,7 +126,7 @@
     now_s = read_clock()
     return decide_retry(
         attempts=run.attempts,
-        started_maybe=error.started_maybe,
+        may_have_started=error.may_have_started,
         repeatable=True,
         left_s=run.admitted.deadline_s - now_s,
         spend=lambda: node.budgets.spend_retry(run.admitted.customer, now_s=now_s),
--- a/lycheetide/node/tests/test_successors.py
+++ b/lycheetide/node/tests/test_successors.py
@@ -12,7 +12,7 @@
 from lycheetide.node._permits import PermitSpec
 from lycheetide.node._state import HeldPermit, make_cell_index, read_clock
 from lycheetide.outcomes import NotRun, Reason
-from lycheetide.routing import Admitted
+from lycheetide.routing import AdmittedRequest
 from lycheetide.upstreams import SilenceTimer
 
 pytestmark = pytest.mark.anyio
@@ -64,7 +64,7 @@
         _successors, "release_permit", lambda _, held: given_back.append(held)
     )
     now_s = read_clock()
-    admitted = Admitted("r1", CUSTOMER, None, now_s, now_s + 20.0)
+    admitted = AdmittedRequest("r1", CUSTOMER, None, now_s, now_s + 20.0)
     silence = SilenceTimer()
     silence.begin(-1.0)
     with anyio.fail_after(5.0):
--- a/lycheetide/routing/__init__.py
+++ b/lycheetide/routing/__init__.py
@@ -1,31 +1,31 @@
 """Decisions of the entry node: admission, choice of a cell, dispatch and retries."""
 
 from lycheetide.routing._admission import (
-    Admitted,
+    AdmittedRequest,
     authenticate,
     check_body_size,
-    find_class,
     find_deadline,
+    find_request_class,
 )
 from lycheetide.routing._cells import rank_cells
 from lycheetide.routing._dispatch import check_dispatch, is_fresh
 from lycheetide.routing._prompts import (
-    count_tokens,
+    estimate_tokens,
     make_prefix_key,
     split_prompt,
 )
 from lycheetide.routing._retry import RetryDecision, decide_retry
 
 __all__ = [
-    "Admitted",
+    "AdmittedRequest",
     "RetryDecision",
     "authenticate",
     "check_body_size",
     "check_dispatch",
-    "count_tokens",
     "decide_retry",
-    "find_class",
+    "estimate_tokens",
     "find_deadline",
+    "find_request_class",
     "is_fresh",
     "make_prefix_key",
     "rank_cells",
--- a/lycheetide/routing/_admission.py
+++ b/lycheetide/routing/_admission.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Admitted:
+class AdmittedRequest:
     """A request that passed the admission checks.
 
     Parameters
@@ -64,7 +64,7 @@
     )
 
 
-def find_class(name, classes):
+def find_request_class(name, classes):
     """Return the request class of a given name.
 
     Parameters
--- a/lycheetide/routing/_prompts.py
+++ b/lycheetide/routing/_prompts.py
@@ -6,12 +6,12 @@
 PREFIX_CHARS = 2_000
 
 
-def count_tokens(text):
+def estimate_tokens(text):
     """Return the estimated number of tokens of a text, at four characters per token.
 
     Examples
     --------
-    >>> count_tokens("a gate of iron")
+    >>> estimate_tokens("a gate of iron")
     4
     """
     return max(1, -(-len(text) // CHARS_PER_TOKEN))
--- a/lycheetide/routing/_retry.py
+++ b/lycheetide/routing/_retry.py
@@ -12,14 +12,14 @@
     GIVE_UP = "give_up"
 
 
-def decide_retry(*, attempts, started_maybe, repeatable, left_s, spend):
+def decide_retry(*, attempts, may_have_started, repeatable, left_s, spend):
     """Decide whether a request is retried after a failed attempt.
 
     Parameters
     ----------
     attempts : int
         Number of attempts so far.
-    started_maybe : bool
+    may_have_started : bool
         Whether the upstream may have started the request.
     repeatable : bool
         Whether the request may be executed twice.
@@ -33,7 +33,7 @@
     -------
     RetryDecision
     """
-    if started_maybe and not repeatable:
+    if may_have_started and not repeatable:
         return RetryDecision.GIVE_UP
     if attempts >= MAX_ATTEMPTS or left_s <= 0:
         return RetryDecision.GIVE_UP
--- a/lycheetide/routing/tests/test_dispatch.py
+++ b/lycheetide/routing/tests/test_dispatch.py
@@ -9,8 +9,8 @@
     authenticate,
     check_dispatch,
     decide_retry,
-    find_class,
     find_deadline,
+    find_request_class,
     is_fresh,
     rank_cells,
     split_prompt,
@@ -72,8 +72,8 @@
     ("fields", "expected"),
     [
         ({}, RetryDecision.RETRY),
-        ({"started_maybe": True}, RetryDecision.RETRY),
-        ({"started_maybe": True, "repeatable": False}, RetryDecision.GIVE_UP),
+        ({"may_have_started": True}, RetryDecision.RETRY),
+        ({"may_have_started": True, "repeatable": False}, RetryDecision.GIVE_UP),
         ({"attempts": 4}, RetryDecision.GIVE_UP),
         ({"left_s": 0.0}, RetryDecision.GIVE_UP),
         ({"spend": lambda: False}, RetryDecision.GIVE_UP),
@@ -81,7 +81,7 @@
 )
 def test_what_is_tried_again(fields, expected):
     values = {
-        "attempts": 1, "started_maybe": False, "repeatable": True, "left_s": 5.0,
+        "attempts": 1, "may_have_started": False, "repeatable": True, "left_s": 5.0,
         "spend": lambda: True,
     }  # fmt: skip
     assert decide_retry(**(values | fields)) is expected
@@ -94,7 +94,7 @@
         raise AssertionError("the budget was touched")
 
     decide_retry(
-        attempts=1, started_maybe=True, repeatable=False, left_s=5.0, spend=spend
+        attempts=1, may_have_started=True, repeatable=False, left_s=5.0, spend=spend
     )
 
 
@@ -118,8 +118,8 @@
 
 def test_a_request_without_a_class_gets_the_last_one():
     classes = {"quote": QUOTE, "archive": RequestClass("archive", priority=2)}
-    assert find_class("", classes).name == "archive"
-    assert find_class("quote", classes) is QUOTE
+    assert find_request_class("", classes).name == "archive"
+    assert find_request_class("quote", classes) is QUOTE
 
 
 def test_equal_cells_are_not_all_asked_by_everybody():
--- a/lycheetide/upstreams/_errors.py
+++ b/lycheetide/upstreams/_errors.py
@@ -6,23 +6,23 @@
 
     Attributes
     ----------
-    started_maybe : bool
+    may_have_started : bool
         Whether the upstream may have started the request.
     """
 
-    started_maybe = True
+    may_have_started = True
 
 
 class UpstreamConnectError(UpstreamError):
     """No connection could be opened, so nothing of the request was sent."""
 
-    started_maybe = False
+    may_have_started = False
 
 
 class UpstreamRefusedError(UpstreamError):
     """The upstream reported that it did not start the request."""
 
-    started_maybe = False
+    may_have_started = False
 
 
 class UpstreamBrokenError(UpstreamError):
--- a/lycheetide/upstreams/tests/test_client.py
+++ b/lycheetide/upstreams/tests/test_client.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "error", "started_maybe"),
+    ("answer", "error", "may_have_started"),
     [
         (b"", UpstreamBrokenError, True),
         (None, UpstreamTimeoutError, True),
@@ -77,7 +77,7 @@
     ],
 )
 def test_failed_call_is_sent_once_and_error_tells_whether_it_may_have_started(
-    answer, error, started_maybe
+    answer, error, may_have_started
 ):
     """The service hangs up, is silent, sends a broken response or refuses the call.
 
@@ -87,11 +87,11 @@
     requests: list[bytes] = []
     with pytest.raises(error) as raised:
         run_call(answer, requests=requests)
-    assert raised.value.started_maybe is started_maybe
+    assert raised.value.may_have_started is may_have_started
     assert len(requests) == 1
 
 
 def test_service_that_does_not_listen_is_reported_as_unreached():
     with pytest.raises(UpstreamConnectError) as raised:
         run_call(b"", requests=[], listens=False)
-    assert raised.value.started_maybe is False
+    assert raised.value.may_have_started is False
