--- a/lycheetide/metrics/__init__.py
+++ b/lycheetide/metrics/__init__.py
@@ -3,13 +3,13 @@
 from lycheetide.metrics._counters import Counters, make_statsd
 from lycheetide.metrics._logs import COMPONENT_PREFIXES, configure_logging, get_log
 from lycheetide.metrics._process import read_process_age_s
-from lycheetide.metrics._request_traces import Explanations, TraceStep
-from lycheetide.metrics._timeline import (
+from lycheetide.metrics._request_log import (
     STANDARD_FIELDS,
     describe_outcome,
     read_request_lines,
     sort_by_time,
 )
+from lycheetide.metrics._request_traces import Explanations, TraceStep
 
 __all__ = [
     "COMPONENT_PREFIXES",
--- a/lycheetide/metrics/tests/test_logs.py
+++ b/lycheetide/metrics/tests/test_logs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lycheetide.metrics._counters import Counters
-from lycheetide.metrics._exposition import Exposition
+from lycheetide.metrics._exporter import Exposition
 from lycheetide.metrics._logs import NonBlockingHandler
 
 
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -19,7 +19,7 @@
 )
 from lycheetide.httpclient import ChannelPool
 from lycheetide.metrics import Counters, get_log, make_statsd
-from lycheetide.metrics._exposition import Exposition
+from lycheetide.metrics._exporter import Exposition
 from lycheetide.placement import (
     PROPAGATION_DELAY_S,
     Candidate,
