--- a/lycheetide/metrics/__init__.py
+++ b/lycheetide/metrics/__init__.py
@@ -1,7 +1,7 @@
 """Counters (statsd), histograms (prometheus-client) and logs (python-json-logger)."""
 
-from lycheetide.metrics._counters import Counters, make_statsd
-from lycheetide.metrics._logs import COMPONENT_PREFIXES, configure_logging, get_log
+from lycheetide.metrics._counters import Counters, make_statsd_client
+from lycheetide.metrics._logs import COMPONENT_PREFIXES, configure_logging, get_logger
 from lycheetide.metrics._process import read_process_age_s
 from lycheetide.metrics._request_log import (
     STANDARD_FIELDS,
@@ -9,18 +9,18 @@
     read_request_lines,
     sort_by_time,
 )
-from lycheetide.metrics._request_traces import Explanations, TraceStep
+from lycheetide.metrics._request_traces import RequestTraces, TraceStep
 
 __all__ = [
     "COMPONENT_PREFIXES",
     "STANDARD_FIELDS",
     "Counters",
-    "Explanations",
+    "RequestTraces",
     "TraceStep",
     "configure_logging",
     "describe_outcome",
-    "get_log",
-    "make_statsd",
+    "get_logger",
+    "make_statsd_client",
     "read_process_age_s",
     "read_request_lines",
     "sort_by_time",
--- a/lycheetide/metrics/_counters.py
+++ b/lycheetide/metrics/_counters.py
@@ -5,7 +5,7 @@
 import statsd
 
 
-def make_statsd(address, prefix):
+def make_statsd_client(address, prefix):
     """Return a statsd client, or None if ``address`` is empty."""
     if not address:
         return None
--- a/lycheetide/metrics/_exporter.py
+++ b/lycheetide/metrics/_exporter.py
@@ -45,7 +45,7 @@
         return list(zip(bounds, accumulate(self.counts), strict=True))
 
 
-class Exposition:
+class MetricsExporter:
     """Metrics that a node serves at its metrics address.
 
     Parameters
--- a/lycheetide/metrics/_logs.py
+++ b/lycheetide/metrics/_logs.py
@@ -41,7 +41,7 @@
         return COMPONENT_PREFIXES[self.logger.name.rpartition(".")[2]] + msg, kwargs
 
 
-def get_log(part):
+def get_logger(part):
     """Return the logger of one component.
 
     Parameters
--- a/lycheetide/metrics/_request_traces.py
+++ b/lycheetide/metrics/_request_traces.py
@@ -26,7 +26,7 @@
     fields: Mapping[str, Any]
 
 
-class Explanations:
+class RequestTraces:
     """Steps of the most recent requests; those of the oldest requests are evicted."""
 
     def __init__(self, *, max_requests=MAX_REQUESTS):
--- a/lycheetide/metrics/tests/test_logs.py
+++ b/lycheetide/metrics/tests/test_logs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lycheetide.metrics._counters import Counters
-from lycheetide.metrics._exporter import Exposition
+from lycheetide.metrics._exporter import MetricsExporter
 from lycheetide.metrics._logs import NonBlockingHandler
 
 
@@ -76,7 +76,7 @@
 def test_counters_and_histograms_are_exported():
     counters = Counters()
     counters.add("retries.silent", 3)
-    metrics_exporter = Exposition(counters)
+    metrics_exporter = MetricsExporter(counters)
     metrics_exporter.observe("first_event", 0.07, kind="stream")
     text = b"".join(serve(metrics_exporter.make_app())).decode()
     assert "lycheetide_retries_silent_total 3.0" in text
--- a/lycheetide/node/_answer_stream.py
+++ b/lycheetide/node/_answer_stream.py
@@ -2,14 +2,14 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._disconnects import CallerDisconnected
 from lycheetide.node._prompts import Token, serve_prompt, to_request_error
 from lycheetide.outcomes import Failed, Reason, RequestError
 
 TOKEN_BUFFER_SIZE = 64
 
-log = get_log("prompt")
+log = get_logger("prompt")
 
 
 class AnswerStream:
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -20,7 +20,7 @@
     resolve_claim,
 )
 from lycheetide.charts import load_chart
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._booking_errors import (
     RETRY_AFTER_S,
     make_holder_lost_error,
@@ -69,7 +69,7 @@
 MAX_KEPT_RUNS = 20_000
 EVICTION_BATCH_SIZE = 1_000
 
-log = get_log("booking")
+log = get_logger("booking")
 
 
 @dataclass
--- a/lycheetide/node/_caller_api.py
+++ b/lycheetide/node/_caller_api.py
@@ -7,7 +7,7 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._answer_stream import start_answer
 from lycheetide.node._booking_errors import make_refused_key_error
 from lycheetide.node._booking_keys import issue_key, validate_key
@@ -37,7 +37,7 @@
 CLIENT_CLOSED_REQUEST = 499
 """Status of a response to a caller that has disconnected (as nginx uses it)."""
 
-log = get_log("door")
+log = get_logger("door")
 
 
 class PromptBody(msgspec.Struct, frozen=True):
--- a/lycheetide/node/_cell_owner.py
+++ b/lycheetide/node/_cell_owner.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._state import read_clock
 from lycheetide.outcomes import NotRun
 from lycheetide.peers import (
@@ -30,7 +30,7 @@
 HAND_OVER_RETRY_DELAY_S = 0.1
 HAND_OVER_EXPIRY_S = 60.0
 
-log = get_log("owner")
+log = get_logger("owner")
 
 
 @dataclass
--- a/lycheetide/node/_heartbeats.py
+++ b/lycheetide/node/_heartbeats.py
@@ -5,7 +5,7 @@
 import anyio
 
 from lycheetide.membership import make_view_record
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._state import generate_id, read_clock
 from lycheetide.peers import PeerUnreached, PullReply, PullRequest
 from lycheetide.platformlog import LogUnavailable
@@ -19,7 +19,7 @@
 new view come first if the log can accept one, and keeps a busy host from being taken
 for a dead one. A member stays deposed until the log is back."""
 
-log = get_log("member")
+log = get_logger("member")
 
 
 def make_own_rows(node, now_s):
--- a/lycheetide/node/_lifecycle.py
+++ b/lycheetide/node/_lifecycle.py
@@ -2,13 +2,13 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._state import read_clock
 
 LIFECYCLE_INTERVAL_S = 0.1
 RECOVERY_POLL_S = 0.02
 
-log = get_log("node")
+log = get_logger("node")
 
 
 def update_lifecycle(node, *, now_s):
--- a/lycheetide/node/_log_followers.py
+++ b/lycheetide/node/_log_followers.py
@@ -5,7 +5,7 @@
 from lycheetide.fleet import fold, make_snapshot_record, restore_snapshot
 from lycheetide.fleet._fold import find_start_state
 from lycheetide.membership import make_view_snapshot_record
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._state import (
     BOOKING_STREAM,
     CONFIG_STREAM,
@@ -20,8 +20,8 @@
 LOG_HEAD_INTERVAL_S = 2.0
 PEER_CONFIG_TIMEOUT_S = 1.0
 
-config_log = get_log("config")
-member_log = get_log("member")
+config_log = get_logger("config")
+member_log = get_logger("member")
 
 
 async def follow_config(node, on_change):
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -7,7 +7,7 @@
 import anyio
 
 from lycheetide.charts import load_chart
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._permits import (
     PermitSpec,
     acquire_permit,
@@ -60,7 +60,7 @@
 The setting ``silence_s`` is added to it.
 """
 
-log = get_log("prompt")
+log = get_logger("prompt")
 
 
 @dataclass(frozen=True)
--- a/lycheetide/node/_replica_monitor.py
+++ b/lycheetide/node/_replica_monitor.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._cell_owner import run_schedule
 from lycheetide.node._state import read_clock
 from lycheetide.scheduling import find_orphans
@@ -26,8 +26,8 @@
 LOST_CALL_GRACE_S = 60.0
 """How long after its deadline a lost call to a service still counts."""
 
-owner_log = get_log("owner")
-reclaim_log = get_log("reclaim")
+owner_log = get_logger("owner")
+reclaim_log = get_logger("reclaim")
 
 
 async def poll_reports(node):
--- a/lycheetide/node/_run.py
+++ b/lycheetide/node/_run.py
@@ -8,7 +8,7 @@
 from hypercorn.asyncio import serve
 from hypercorn.config import Config
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node import _booking_handlers, _cell_owner
 from lycheetide.node._bookings import has_pending_bookings
 from lycheetide.node._caller_api import CallerApi
@@ -49,7 +49,7 @@
 )
 """Tasks that call ``on_change`` after a change of the configuration or the view."""
 
-log = get_log("node")
+log = get_logger("node")
 
 
 class ListenError(Exception):
--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -12,7 +12,7 @@
 from lycheetide.fleet import ConfigState
 from lycheetide.limits import CustomerRetryBudgets
 from lycheetide.membership import Member, Membership
-from lycheetide.metrics import Counters, Explanations, make_statsd
+from lycheetide.metrics import Counters, RequestTraces, make_statsd_client
 from lycheetide.peers import PeerClient
 from lycheetide.platformlog import GroupWriter, LogClient
 from lycheetide.routing import is_fresh
@@ -136,9 +136,9 @@
         self.bookings = {}
         self.issued_home_keys = 0
         self.counters = Counters(
-            make_statsd(settings.statsd_address, settings.statsd_prefix)
+            make_statsd_client(settings.statsd_address, settings.statsd_prefix)
         )
-        self.request_traces = Explanations()
+        self.request_traces = RequestTraces()
         self.budgets = CustomerRetryBudgets()
         self.active = {}
         self.standstill = Standstill()
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -18,8 +18,8 @@
     order_node,
 )
 from lycheetide.httpclient import ChannelPool
-from lycheetide.metrics import Counters, get_log, make_statsd
-from lycheetide.metrics._exporter import Exposition
+from lycheetide.metrics import Counters, get_logger, make_statsd_client
+from lycheetide.metrics._exporter import MetricsExporter
 from lycheetide.placement import (
     PROPAGATION_DELAY_S,
     Candidate,
@@ -92,11 +92,11 @@
         self.adapter = adapter
         self.node = node
         self.order = order_node(node)
-        self.log = get_log("relay")
+        self.log = get_logger("relay")
         self.counters = Counters(
-            make_statsd(settings.statsd_address, settings.statsd_prefix)
+            make_statsd_client(settings.statsd_address, settings.statsd_prefix)
         )
-        self.metrics_exporter = Exposition(self.counters)
+        self.metrics_exporter = MetricsExporter(self.counters)
         self.random = random.Random(node)
         self.route_table: RouteTable | None = None
         self.closed: frozenset[str] = frozenset()
--- a/lycheetide/tasks/_guard.py
+++ b/lycheetide/tasks/_guard.py
@@ -2,11 +2,11 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 
 RESTART_S = 0.5
 
-log = get_log("node")
+log = get_logger("node")
 
 
 async def keep_running(node, part, *args):
--- a/lycheetide/tasks/_standstill.py
+++ b/lycheetide/tasks/_standstill.py
@@ -9,14 +9,14 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 
 TICK_S = 0.1
 STALL_MIN_S = 0.4
 """A tick of the event loop that is this late counts as a stall. Choosing a replica also
 blocks the loop, for hundredths of a second."""
 
-log = get_log("node")
+log = get_logger("node")
 
 
 class Standstill:
