--- a/lycheetide/model/_engine_simulation.py
+++ b/lycheetide/model/_engine_simulation.py
@@ -11,7 +11,7 @@
 
 from lycheetide.fleet import FailureDomain, Upstream
 from lycheetide.model._engine import BatchingEngine, EngineJob
-from lycheetide.outcomes import NotRun
+from lycheetide.outcomes import NotRunError
 from lycheetide.scheduling import LoadReport, Ticket
 
 # Time from the decision until a request reaches its engines.
@@ -186,7 +186,7 @@
         self.schedule(ticket.deadline_s, self._cancel_at_deadline, ticket.request_id)
         try:
             self.scheduler.arrive(ticket, now_s)
-        except NotRun:
+        except NotRunError:
             self._record_result(now_s, ticket.request_id, "refused", None)
             return
         self._dispatch(now_s)
--- a/lycheetide/model/_policies.py
+++ b/lycheetide/model/_policies.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from lycheetide.fleet import Upstream, takes_new_work
-from lycheetide.outcomes import NotRun
+from lycheetide.outcomes import NotRunError
 from lycheetide.routing import rank_cells
 from lycheetide.scheduling import Cell, LoadReport, SchedulingPolicy, Ticket
 
@@ -27,7 +27,7 @@
     Parameters
     ----------
     arrive : callable
-        Called with a ticket and the time; raises ``NotRun`` to refuse the request.
+        Called with a ticket and the time; raises ``NotRunError`` to refuse the request.
     decide : callable
         Called with the time; yields pairs of a ticket and its replicas' names.
     end : callable
@@ -85,7 +85,7 @@
             try:
                 cells[name].enqueue(ticket, now_s=now_s)
                 return
-            except NotRun as refusal:
+            except NotRunError as refusal:
                 refusals.append(refusal)
         raise min(refusals, key=lambda refusal: refusal.retry_after_s or 0.0)
 
--- a/lycheetide/node/_answer_stream.py
+++ b/lycheetide/node/_answer_stream.py
@@ -5,7 +5,7 @@
 from lycheetide.metrics import get_logger
 from lycheetide.node._disconnects import CallerDisconnected
 from lycheetide.node._prompts import Token, serve_prompt, to_request_error
-from lycheetide.outcomes import Failed, Reason, RequestError
+from lycheetide.outcomes import Reason, RequestError, RequestFailedError
 
 TOKEN_BUFFER_SIZE = 64
 
@@ -73,7 +73,7 @@
             if not self._is_complete:
                 # The task ended in an unforeseen way, and the answer is truncated. It
                 # must never look like a complete one.
-                raise Failed(
+                raise RequestFailedError(
                     Reason.INTERNAL,
                     "the answer was cut short inside the node",
                     status=500,
--- a/lycheetide/node/_booking_errors.py
+++ b/lycheetide/node/_booking_errors.py
@@ -1,6 +1,6 @@
 """Errors that several booking modules raise."""
 
-from lycheetide.outcomes import NotRun, OutcomeUnknown, Reason
+from lycheetide.outcomes import NotRunError, OutcomeUnknownError, Reason
 
 RETRY_AFTER_S = 1.0
 NEW_KEY_HINT = "POST /v1/keys issues a key that does not need the log"
@@ -8,12 +8,14 @@
 
 def make_key_reused_error():
     """Return the error for a key that was already used with another body."""
-    return NotRun(Reason.KEY_REUSED, "the key was used with another body", status=422)
+    return NotRunError(
+        Reason.KEY_REUSED, "the key was used with another body", status=422
+    )
 
 
 def make_log_unavailable_error():
     """Return the error for a key whose records could not be read in time."""
-    return OutcomeUnknown(
+    return OutcomeUnknownError(
         Reason.LOG_UNAVAILABLE,
         "this node has sent nothing but cannot read from the log whether another node "
         f"ran the key; retry with the same key. For a new request, {NEW_KEY_HINT}",
@@ -23,7 +25,7 @@
 
 def make_holder_lost_error():
     """Return the error for a key whose holder can no longer report its outcome."""
-    return OutcomeUnknown(
+    return OutcomeUnknownError(
         Reason.KEY_HOME_LOST,
         "the node that held this key is gone; whether the request ran is unknown",
         status=504,
@@ -44,10 +46,10 @@
 
     Returns
     -------
-    OutcomeUnknown
+    OutcomeUnknownError
         With the reason, status and retry delay of ``refusal``.
     """
-    return OutcomeUnknown(
+    return OutcomeUnknownError(
         refusal.reason,
         f"{refusal.message}; this node has sent nothing and did not check whether "
         "another node ran the key; retry with the same key",
--- a/lycheetide/node/_booking_forwarding.py
+++ b/lycheetide/node/_booking_forwarding.py
@@ -12,7 +12,7 @@
 )
 from lycheetide.node._booking_keys import hash_call
 from lycheetide.node._state import BOOKING_STREAM, read_clock
-from lycheetide.outcomes import NotRun, OutcomeUnknown, Reason
+from lycheetide.outcomes import NotRunError, OutcomeUnknownError, Reason
 from lycheetide.peers import BookingStatus, PeerUnreached, RunBookingRequest
 from lycheetide.platformlog import LogUnavailable
 from lycheetide.upstreams import ServiceAnswer
@@ -49,8 +49,8 @@
     Raises
     ------
     RequestError
-        The issuer's error, or ``OutcomeUnknown`` if the issuer is gone and the log has
-        no answer.
+        The issuer's error, or ``OutcomeUnknownError`` if the issuer is gone and the log
+        has no answer.
     """
     member = node.membership.view.find(key.issuer_id)
     if member is None:
@@ -112,7 +112,9 @@
     """Convert another node's reply to an answer, or raise the error it reports."""
     if reply.status is BookingStatus.ANSWERED:
         return ServiceAnswer(reply.http_status, reply.body)
-    error_type = NotRun if reply.status is BookingStatus.NOT_RUN else OutcomeUnknown
+    error_type = (
+        NotRunError if reply.status is BookingStatus.NOT_RUN else OutcomeUnknownError
+    )
     raise error_type(
         Reason(reply.reason),
         reply.message,
--- a/lycheetide/node/_booking_handlers.py
+++ b/lycheetide/node/_booking_handlers.py
@@ -7,7 +7,7 @@
 )
 from lycheetide.node._bookings import serve_booking
 from lycheetide.node._state import read_clock
-from lycheetide.outcomes import NotRun, Reason, RequestError
+from lycheetide.outcomes import NotRunError, Reason, RequestError
 from lycheetide.peers import BookingReply, BookingStatus
 from lycheetide.routing import AdmittedRequest
 
@@ -36,7 +36,7 @@
 
 def make_error_reply(error):
     """Convert an error to a reply."""
-    not_run = isinstance(error, NotRun)
+    not_run = isinstance(error, NotRunError)
     return BookingReply(
         BookingStatus.NOT_RUN if not_run else BookingStatus.UNKNOWN,
         http_status=error.status,
@@ -54,7 +54,7 @@
     customer = node.fleet.customers.get(request.customer)
     request_class = node.fleet.classes.get(request.request_class)
     if operation is None or customer is None or request_class is None:
-        error = NotRun(
+        error = NotRunError(
             Reason.NOT_READY,
             "this node's configuration lacks the operation, customer or request class",
             retry_after_s=1.0,
--- a/lycheetide/node/_booking_keys.py
+++ b/lycheetide/node/_booking_keys.py
@@ -3,7 +3,7 @@
 import hashlib
 
 from lycheetide.bookings import KeyMode, make_key, parse_key
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 
 MAX_HOME_KEYS = 100_000
 
@@ -30,7 +30,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If this node has already issued ``MAX_HOME_KEYS`` home keys, all of which it
         has to remember.
     """
@@ -38,7 +38,7 @@
     mode = KeyMode.CLAIMED if is_log_reachable else KeyMode.HOME
     if mode is KeyMode.HOME:
         if node.issued_home_keys >= MAX_HOME_KEYS:
-            raise NotRun(
+            raise NotRunError(
                 Reason.NO_CAPACITY,
                 "too many keys were issued without the log",
                 retry_after_s=30.0,
@@ -58,11 +58,11 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the key is missing, malformed, or was issued to another customer.
     """
     if not text:
-        raise NotRun(
+        raise NotRunError(
             Reason.KEY_MISSING,
             "expected an Idempotency-Key from POST /v1/keys",
             status=400,
@@ -70,11 +70,11 @@
     try:
         key = parse_key(text)
     except ValueError as error:
-        raise NotRun(
+        raise NotRunError(
             Reason.KEY_MALFORMED, f"got {text[:80]!r}, expected {error}", status=400
         ) from None
     if key.customer != customer.name:
-        raise NotRun(
+        raise NotRunError(
             Reason.KEY_MALFORMED, "the key was issued to another customer", status=403
         )
     return key
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -38,8 +38,8 @@
 )
 from lycheetide.node._state import BOOKING_STREAM, generate_id, read_clock
 from lycheetide.outcomes import (
-    NotRun,
-    OutcomeUnknown,
+    NotRunError,
+    OutcomeUnknownError,
     Reason,
     RequestError,
     RetryReason,
@@ -147,7 +147,7 @@
     Raises
     ------
     RequestError
-        ``NotRun`` only if nothing was or will be sent for this key.
+        ``NotRunError`` only if nothing was or will be sent for this key.
     """
     is_home = key.mode is KeyMode.HOME
     if is_home and key.issuer_id != node.own_id:
@@ -163,7 +163,7 @@
 
 def _may_restart(run):
     """Return whether a run ended with nothing sent, so that the key may run again."""
-    return run.done.is_set() and isinstance(run.error, NotRun)
+    return run.done.is_set() and isinstance(run.error, NotRunError)
 
 
 def _start_run(node, admitted, operation, body, key, body_hash):
@@ -200,12 +200,12 @@
     """
     if run.state == "claimed" and run.waiters == 0:
         run.abandoned = True
-        return NotRun(
+        return NotRunError(
             Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
         )
     if run.state == "new":
         return make_log_unavailable_error()
-    return OutcomeUnknown(
+    return OutcomeUnknownError(
         Reason.DEADLINE,
         "the service did not answer before the deadline; retry with the same key",
         retry_after_s=RETRY_AFTER_S,
@@ -229,11 +229,11 @@
         log.exception("A booking failed because of an internal error.")
         unsent = CHART.has(run.state, "unsent")
         run.abandoned = True
-        error_type = NotRun if unsent else OutcomeUnknown
+        error_type = NotRunError if unsent else OutcomeUnknownError
         run.error = error_type(Reason.INTERNAL, "an error inside the node", status=500)
     finally:
         run.done.set()
-    if isinstance(run.error, NotRun) or run.state in {"new", "elsewhere"}:
+    if isinstance(run.error, NotRunError) or run.state in {"new", "elsewhere"}:
         node.bookings.pop(run.key.text, None)
     if run.claim_sent and run.state in {"new", "claimed", "elsewhere"}:
         await _release_claim(node, run)
@@ -287,7 +287,7 @@
             return 0
         if key_status is KeyStatus.EXPIRED:
             run.step("lost")
-            raise OutcomeUnknown(
+            raise OutcomeUnknownError(
                 Reason.KEY_EXPIRED,
                 "the log no longer retains the first records of this key",
                 status=410,
@@ -311,7 +311,7 @@
     run.abandoned = True
     if run.state == "new":
         raise make_log_unavailable_error()
-    raise NotRun(
+    raise NotRunError(
         Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
     )
 
@@ -333,7 +333,7 @@
         return None
     if run.key.issue_offset > batch.next_offset:
         run.step("lost")
-        raise NotRun(
+        raise NotRunError(
             Reason.KEY_AHEAD,
             "the key's issue offset is beyond the end of the log",
             status=400,
@@ -444,7 +444,7 @@
     """Raise the error for the caller unless the call may be sent again."""
     if error.may_have_started:
         run.step("broke")
-        raise OutcomeUnknown(
+        raise OutcomeUnknownError(
             Reason.UPSTREAM_BROKE,
             "the service may have run the call, but its answer was lost",
             status=504,
@@ -459,7 +459,7 @@
         spend=lambda: node.budgets.spend_retry(run.admitted.customer, now_s=now_s),
     )
     if decision is RetryDecision.GIVE_UP:
-        raise NotRun(
+        raise NotRunError(
             Reason.UPSTREAM_REFUSED,
             str(error),
             retry_after_s=RETRY_AFTER_S,
--- a/lycheetide/node/_caller_api.py
+++ b/lycheetide/node/_caller_api.py
@@ -21,7 +21,7 @@
 from lycheetide.node._lookups import serve_lookup
 from lycheetide.node._prompts import Prompt, to_request_error
 from lycheetide.node._state import STALL_RECOVERY_S, generate_id, read_clock
-from lycheetide.outcomes import NotRun, Reason, RequestError
+from lycheetide.outcomes import NotRunError, Reason, RequestError
 from lycheetide.routing import (
     AdmittedRequest,
     authenticate,
@@ -54,7 +54,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the body is larger.
     """
     content_length = request.headers.get("content-length", "")
@@ -74,7 +74,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the node does not accept requests, or a header is invalid.
     """
     now_s = read_clock()
@@ -82,7 +82,7 @@
         node, until_s=now_s + find_recovery_wait_s(request.headers)
     )
     if not node.has_state_flag("accepting"):
-        raise NotRun(
+        raise NotRunError(
             Reason.NOT_READY,
             f"this node accepts no requests (state {node.lifecycle_state})",
             retry_after_s=1.0,
@@ -122,23 +122,23 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the body is invalid; the message names the value and what was expected.
     """
     try:
         parsed = msgspec.json.decode(body, type=PromptBody)
     except msgspec.MsgspecError as error:
-        raise NotRun(Reason.BAD_BODY, str(error), status=400) from None
+        raise NotRunError(Reason.BAD_BODY, str(error), status=400) from None
     model = fleet.models.get(parsed.model)
     if model is None:
         known = ", ".join(sorted(fleet.models)) or "none"
-        raise NotRun(
+        raise NotRunError(
             Reason.UNKNOWN_MODEL,
             f"got model {parsed.model!r}, known are {known}",
             status=404,
         )
     if not 0 < parsed.max_tokens <= MAX_ANSWER_TOKENS:
-        raise NotRun(
+        raise NotRunError(
             Reason.BAD_BODY,
             f"got max_tokens {parsed.max_tokens}, "
             f"expected from 1 to {MAX_ANSWER_TOKENS}",
@@ -146,7 +146,7 @@
         )
     tokens = estimate_tokens(parsed.prompt)
     if tokens > model.max_prompt_tokens:
-        raise NotRun(
+        raise NotRunError(
             Reason.PROMPT_TOO_LONG,
             f"got {tokens} tokens, expected at most {model.max_prompt_tokens}",
             status=413,
@@ -278,7 +278,7 @@
         node = self.node
         try:
             admitted = await admit(node, request, request_id)
-        except NotRun as refusal:
+        except NotRunError as refusal:
             if not request.headers.get("idempotency-key"):
                 raise
             raise make_refused_key_error(refusal) from None
@@ -286,7 +286,7 @@
         name = f"{params['service']}/{params['operation']}"
         operation = node.fleet.operations.get(name)
         if operation is None:
-            raise NotRun(
+            raise NotRunError(
                 Reason.UNKNOWN_SERVICE, f"got {name!r}, expected a known operation",
                 status=404,
             )  # fmt: skip
@@ -294,7 +294,7 @@
         try:
             msgspec.json.decode(body)
         except msgspec.MsgspecError as error:
-            raise NotRun(Reason.BAD_BODY, str(error), status=400) from None
+            raise NotRunError(Reason.BAD_BODY, str(error), status=400) from None
 
         async def serve():
             if operation.idempotent:
--- a/lycheetide/node/_cell_owner.py
+++ b/lycheetide/node/_cell_owner.py
@@ -7,7 +7,7 @@
 
 from lycheetide.metrics import get_logger
 from lycheetide.node._state import read_clock
-from lycheetide.outcomes import NotRun
+from lycheetide.outcomes import NotRunError
 from lycheetide.peers import (
     AcquireReply,
     AcquireStatus,
@@ -218,7 +218,7 @@
     if request.ticket_id not in owned.granted:
         try:
             owned.cell.enqueue(_make_ticket(node, request, now_s), now_s=now_s)
-        except NotRun as refusal:
+        except NotRunError as refusal:
             return AcquireReply(
                 AcquireStatus.REFUSED,
                 reason=refusal.reason,
--- a/lycheetide/node/_lookups.py
+++ b/lycheetide/node/_lookups.py
@@ -18,7 +18,7 @@
     pop_successor,
     release_successor,
 )
-from lycheetide.outcomes import Failed, NotRun, Reason, RetryReason
+from lycheetide.outcomes import NotRunError, Reason, RequestFailedError, RetryReason
 from lycheetide.routing import RetryDecision
 from lycheetide.upstreams import (
     ServiceCall,
@@ -88,21 +88,22 @@
     Raises
     ------
     RequestError
-        ``NotRun`` if no upstream has started the call, ``Failed`` otherwise.
+        ``NotRunError`` if no upstream has started the call, ``RequestFailedError``
+        otherwise.
     """
     run = LookupRun(admitted, operation, body)
     with anyio.CancelScope(deadline=admitted.deadline_s):
         try:
             return await _attempt_until_done(node, run)
-        except NotRun as error:
+        except NotRunError as error:
             if not run.may_have_started:
                 raise
-            raise Failed(
+            raise RequestFailedError(
                 error.reason, error.message, retry_after_s=error.retry_after_s
             ) from error
         finally:
             release_successor(node, run)
-    error_type = Failed if run.may_have_started else NotRun
+    error_type = RequestFailedError if run.may_have_started else NotRunError
     raise error_type(
         Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
     )
@@ -175,7 +176,7 @@
     if decide_next_attempt(node, run, error) is RetryDecision.RETRY:
         node.counters.add_retry(find_retry_reason(error))
         return
-    error_type = Failed if run.may_have_started else NotRun
+    error_type = RequestFailedError if run.may_have_started else NotRunError
     raise error_type(
         Reason.UPSTREAM_BROKE, str(error), retry_after_s=RETRY_AFTER_S, status=502
     ) from error
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -9,7 +9,7 @@
 
 from lycheetide.node import _cell_owner
 from lycheetide.node._state import HeldPermit, generate_id, read_clock
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.peers import (
     AcquireRequest,
     AcquireStatus,
@@ -97,13 +97,13 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the owners of all cells refuse, or the class's longest wait is over.
     """
     while True:
         try:
             return await _acquire_from_any_cell(node, spec)
-        except NotRun as refusal:
+        except NotRunError as refusal:
             if not spec.is_begun:
                 raise
             node.counters.add(f"permits.refused_begun.{refusal.reason}")
@@ -115,11 +115,11 @@
     admitted = spec.admitted
     cells = node.get_cell_index().cells_by_served.get(spec.serves, ())
     if not cells:
-        raise NotRun(
+        raise NotRunError(
             Reason.NO_CAPACITY, f"no replica serves {spec.serves}", retry_after_s=5.0
         )
     ticket_ids = {cell: f"{generate_id()}@{cell}" for cell in cells}
-    refusals: dict[str, NotRun] = {}
+    refusals: dict[str, NotRunError] = {}
     started_s = read_clock()
     for turn in itertools.count():
         now_s = read_clock()
@@ -134,13 +134,13 @@
             raise min(refusals.values(), key=lambda r: r.retry_after_s or 0.0)
         cell = ranked[turn % len(ranked)]
         result = await _acquire_from_cell(node, spec, cell, ticket_ids[cell], started_s)
-        if isinstance(result, NotRun):
+        if isinstance(result, NotRunError):
             refusals[cell] = result
         elif result is not None:
             return result
         waited_s = read_clock() - admitted.arrived_s
         if waited_s > admitted.request_class.max_wait_s:
-            raise NotRun(
+            raise NotRunError(
                 Reason.OVERLOADED,
                 f"no replica became free within {waited_s:.1f} s",
                 retry_after_s=OVERLOADED_RETRY_AFTER_S,
@@ -153,7 +153,7 @@
 
     Returns
     -------
-    (HeldPermit, float), NotRun or None
+    (HeldPermit, float), NotRunError or None
         The permit and the time of the call that brought it, the refusal, or None if
         another cell should be asked.
     """
@@ -195,7 +195,7 @@
                 admitted.request_id, "A cell refused the request.",
                 cell=cell, owner=owner.host, reason=reply.reason,
             )  # fmt: skip
-            return NotRun(
+            return NotRunError(
                 Reason(reply.reason),
                 reply.message,
                 retry_after_s=reply.retry_after_ms / 1000,
@@ -288,7 +288,7 @@
 def is_permit_usable(node, held, asked_s):
     """Check, right before dispatch, whether a permit may still be used.
 
-    False if it may not be used now but another one may be acquired; ``NotRun`` is
+    False if it may not be used now but another one may be acquired; ``NotRunError`` is
     raised if this node can't know the configuration in force.
     """
     now_s = read_clock()
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -24,10 +24,10 @@
     release_successor,
 )
 from lycheetide.outcomes import (
-    Failed,
-    NotRun,
+    NotRunError,
     Reason,
     RequestError,
+    RequestFailedError,
     RetryReason,
 )
 from lycheetide.routing import (
@@ -139,7 +139,8 @@
     Raises
     ------
     RequestError
-        ``NotRun`` if no upstream can have started the request, else ``Failed``.
+        ``NotRunError`` if no upstream can have started the request, else
+        ``RequestFailedError``.
     """
     run = PromptRun(admitted, prompt)
     run.step("admitted")
@@ -150,14 +151,14 @@
             finally:
                 release_successor(node, run)
         if scope.cancelled_caught:
-            raise NotRun(
+            raise NotRunError(
                 Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
             )
-    except NotRun as error:
+    except NotRunError as error:
         run.step("gave_up")
         if not run.may_have_started:
             raise
-        raise Failed(
+        raise RequestFailedError(
             error.reason, error.message, retry_after_s=error.retry_after_s
         ) from error
     run.step("answered")
@@ -215,7 +216,7 @@
         reason=reason, cause=str(error), decision=decision, replicas=list(replicas),
     )  # fmt: skip
     if decision is RetryDecision.GIVE_UP:
-        error_type = Failed if run.may_have_started else NotRun
+        error_type = RequestFailedError if run.may_have_started else NotRunError
         raise error_type(
             _find_reason(error), str(error), retry_after_s=RETRY_AFTER_S, status=502
         ) from error
@@ -454,4 +455,4 @@
     """Return the ``RequestError`` for any exception that a run raised."""
     if isinstance(error, RequestError):
         return error
-    return Failed(Reason.INTERNAL, "an error inside the node", status=500)
+    return RequestFailedError(Reason.INTERNAL, "an error inside the node", status=500)
--- a/lycheetide/node/_successors.py
+++ b/lycheetide/node/_successors.py
@@ -7,7 +7,7 @@
 from lycheetide.fleet import takes_new_work
 from lycheetide.node._permits import acquire_permit, is_permit_usable, release_permit
 from lycheetide.node._state import read_clock
-from lycheetide.outcomes import NotRun, RetryReason
+from lycheetide.outcomes import NotRunError, RetryReason
 from lycheetide.routing import RetryDecision, decide_retry
 from lycheetide.upstreams import UpstreamRefusedError, UpstreamTimeoutError
 
@@ -55,7 +55,7 @@
                 # replicas and the budget are checked again.
                 next_spec = replace(spec, avoid=avoid, is_begun=False)
                 held, asked_s = await acquire_permit(node, next_spec)
-            except NotRun:
+            except NotRunError:
                 pass
             else:
                 if (
@@ -85,7 +85,7 @@
     """Return whether the permit may be used; False also while the node is cut off."""
     try:
         return is_permit_usable(node, held, asked_s)
-    except NotRun:
+    except NotRunError:
         return False
 
 
--- a/lycheetide/node/tests/test_successors.py
+++ b/lycheetide/node/tests/test_successors.py
@@ -11,7 +11,7 @@
 from lycheetide.node import _successors
 from lycheetide.node._permits import PermitSpec
 from lycheetide.node._state import HeldPermit, make_cell_index, read_clock
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.routing import AdmittedRequest
 from lycheetide.upstreams import SilenceTimer
 
@@ -54,7 +54,7 @@
 
     async def acquire_permit(node, spec):
         came = permits.pop(0)
-        if isinstance(came, NotRun):
+        if isinstance(came, NotRunError):
             raise came
         return HeldPermit(SimpleNamespace(replicas=(came,)), "c"), read_clock()
 
@@ -77,7 +77,7 @@
 async def test_a_refusal_or_the_silent_replica_is_not_a_successor(monkeypatch):
     """A refusal comes first, then a permit for the silent replica itself."""
     node = make_node()
-    refusal = NotRun(Reason.NO_CAPACITY)
+    refusal = NotRunError(Reason.NO_CAPACITY)
     found, given_back = await find_successor(node, monkeypatch, [refusal, "a1", "a2"])
     assert (found, given_back) == (("a2",), [("a1",)])
     assert node.budgets.retries == {"kestrel": 1}
--- a/lycheetide/outcomes/__init__.py
+++ b/lycheetide/outcomes/__init__.py
@@ -1,20 +1,20 @@
 """Errors of requests that end without an answer: outcomes and reasons."""
 
 from lycheetide.outcomes._errors import (
-    Failed,
-    NotRun,
+    NotRunError,
     Outcome,
-    OutcomeUnknown,
+    OutcomeUnknownError,
     RequestError,
+    RequestFailedError,
 )
 from lycheetide.outcomes._reasons import Reason, RetryReason
 
 __all__ = [
-    "Failed",
-    "NotRun",
+    "NotRunError",
     "Outcome",
-    "OutcomeUnknown",
+    "OutcomeUnknownError",
     "Reason",
     "RequestError",
+    "RequestFailedError",
     "RetryReason",
 ]
--- a/lycheetide/outcomes/_errors.py
+++ b/lycheetide/outcomes/_errors.py
@@ -38,19 +38,19 @@
         self.status = status
 
 
-class NotRun(RequestError):
+class NotRunError(RequestError):
     """No upstream has started the request, and none can start it later."""
 
     outcome = Outcome.NOT_RUN
 
 
-class Failed(RequestError):
+class RequestFailedError(RequestError):
     """An upstream may have executed the request, which is safe to repeat."""
 
     outcome = Outcome.FAILED
 
 
-class OutcomeUnknown(RequestError):
+class OutcomeUnknownError(RequestError):
     """A request that isn't safe to repeat may or may not have been executed."""
 
     outcome = Outcome.UNKNOWN
--- a/lycheetide/routing/_admission.py
+++ b/lycheetide/routing/_admission.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 
 BEARER_PREFIX = "bearer "
 MAX_DEADLINE_S = 3600.0
@@ -50,7 +50,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the token is missing or belongs to no customer.
     """
     if authorization.lower().startswith(BEARER_PREFIX):
@@ -59,7 +59,7 @@
         for customer in customers:
             if hmac.compare_digest(customer.token_sha256, digest):
                 return customer
-    raise NotRun(
+    raise NotRunError(
         Reason.UNAUTHENTICATED, "expected the bearer token of a customer", status=401
     )
 
@@ -81,7 +81,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If there is no class of this name.
     """
     if not name and classes:
@@ -89,7 +89,7 @@
     found = classes.get(name)
     if found is None:
         known = ", ".join(sorted(classes)) or "none"
-        raise NotRun(
+        raise NotRunError(
             Reason.UNKNOWN_CLASS, f"got class {name!r}, known are {known}", status=400
         )
     return found
@@ -116,7 +116,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the header is malformed or the deadline has passed.
     """
     if not header:
@@ -124,13 +124,15 @@
     try:
         left_s = int(header) / 1000
     except ValueError:
-        raise NotRun(
+        raise NotRunError(
             Reason.BAD_DEADLINE,
             f"got X-Deadline-Ms {header!r}, expected whole milliseconds",
             status=400,
         ) from None
     if left_s <= 0:
-        raise NotRun(Reason.DEADLINE_PAST, "no time was left on arrival", status=504)
+        raise NotRunError(
+            Reason.DEADLINE_PAST, "no time was left on arrival", status=504
+        )
     return now_s + min(left_s, MAX_DEADLINE_S)
 
 
@@ -146,11 +148,11 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the body is too large. The message names its size and the maximum.
     """
     if size_bytes > largest_bytes:
-        raise NotRun(
+        raise NotRunError(
             Reason.BODY_TOO_LARGE,
             f"got {size_bytes} bytes, expected at most {largest_bytes}",
             status=413,
--- a/lycheetide/routing/_dispatch.py
+++ b/lycheetide/routing/_dispatch.py
@@ -7,7 +7,7 @@
 """
 
 from lycheetide.fleet import takes_new_work
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 
 
 def is_fresh(*, log_read_started_s, majority_heard, now_s, within_s):
@@ -59,11 +59,11 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If this node can't know the configuration in force.
     """
     if not fresh:
-        raise NotRun(
+        raise NotRunError(
             Reason.NOT_FRESH,
             "this node hears neither the log nor its peers",
             retry_after_s=1.0,
--- a/lycheetide/routing/tests/test_dispatch.py
+++ b/lycheetide/routing/tests/test_dispatch.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lycheetide.fleet import Customer, FailureDomain, Fleet, RequestClass, Upstream
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.routing import (
     RetryDecision,
     authenticate,
@@ -49,7 +49,7 @@
 
 
 def test_a_node_that_can_not_know_the_configuration_sends_nothing():
-    with pytest.raises(NotRun) as caught:
+    with pytest.raises(NotRunError) as caught:
         check(make_fleet(), fresh=False)
     assert caught.value.reason is Reason.NOT_FRESH
 
@@ -102,7 +102,7 @@
     assert find_deadline("", QUOTE, now_s=5.0) == 25.0
     assert find_deadline("1500", QUOTE, now_s=5.0) == 6.5
     for header, reason in (("0", "deadline_past"), ("soon", "bad_deadline")):
-        with pytest.raises(NotRun) as caught:
+        with pytest.raises(NotRunError) as caught:
             find_deadline(header, QUOTE, now_s=5.0)
         assert caught.value.reason == reason
 
@@ -112,7 +112,7 @@
     customers = [Customer("kestrel", digest)]
     assert authenticate("Bearer secret", customers).name == "kestrel"
     for header in ("", "secret", "Bearer", "Bearer other", "Basic secret"):
-        with pytest.raises(NotRun):
+        with pytest.raises(NotRunError):
             authenticate(header, customers)
 
 
--- a/lycheetide/scheduling/_cell.py
+++ b/lycheetide/scheduling/_cell.py
@@ -7,7 +7,7 @@
 from lycheetide.charts import load_chart
 from lycheetide.fleet import takes_new_work
 from lycheetide.membership import CellSummary
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.scheduling._choose import (
     choose_draining,
     choose_replicas,
@@ -255,7 +255,7 @@
 
         Raises
         ------
-        NotRun
+        NotRunError
             If the request can't be served before its deadline, is too large for the
             replicas, or exceeds the customer's limit, or if no replica is open.
         """
@@ -273,7 +273,7 @@
         remaining_s = ticket.deadline_s - now_s
         if wait_s > remaining_s:
             retry_delay_s = min(30.0, max(0.5, wait_s - remaining_s))
-            raise NotRun(
+            raise NotRunError(
                 Reason.OVERLOADED,
                 f"estimated time to process the prompt is {wait_s:.1f} s, "
                 f"but the deadline is in {remaining_s:.1f} s",
@@ -296,10 +296,12 @@
     def _check_fits(self, ticket, loads, unreported):
         """Refuse a request that the cell's replicas together could not hold."""
         if not loads and not unreported:
-            raise NotRun(Reason.NO_CAPACITY, "no replica is open", retry_after_s=2.0)
+            raise NotRunError(
+                Reason.NO_CAPACITY, "no replica is open", retry_after_s=2.0
+            )
         segments = count_segments(ticket, loads, self.policy)
         if segments > len(loads) + unreported:
-            raise NotRun(
+            raise NotRunError(
                 Reason.PROMPT_TOO_LONG,
                 f"{ticket.total_tokens} tokens require {segments} replicas, "
                 f"but only {len(loads)} are open",
@@ -314,7 +316,7 @@
             if other.customer == ticket.customer
         )
         if waiting and waiting + ticket.prompt_tokens > ticket.waiting_limit_tokens:
-            raise NotRun(
+            raise NotRunError(
                 Reason.CUSTOMER_LIMIT,
                 f"{waiting} tokens of this customer are already queued, "
                 f"its limit is {ticket.waiting_limit_tokens}",
--- a/lycheetide/scheduling/tests/test_cell.py
+++ b/lycheetide/scheduling/tests/test_cell.py
@@ -12,7 +12,7 @@
 )
 
 from lycheetide.fleet import FailureDomain, Upstream
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.scheduling import Cell, LoadReport, Ticket
 
 COLD_LIMIT = 3
@@ -87,7 +87,7 @@
                 cell.enqueue(
                     make_ticket(self.number, now_s=self.now_s), now_s=self.now_s
                 )
-            except NotRun:
+            except NotRunError:
                 continue
         for permit in cell.schedule(now_s=self.now_s):
             self.in_flight[permit.permit_id] = (cell, self.boot)
@@ -200,7 +200,7 @@
     upstreams = [make_upstream(cold_limit_requests=2)]
     out = {"cork-a": FailureDomain("cork-a", "munster", "out")}
     cell.apply_upstreams(upstreams, out, now_s=2.0)
-    with pytest.raises(NotRun, match="no replica is open"):
+    with pytest.raises(NotRunError, match="no replica is open"):
         cell.enqueue(make_ticket(1, now_s=2.0), now_s=2.0)
     cell.apply_upstreams(upstreams, DOMAINS, now_s=3.0)
     assert cell.replicas["e1"].ramp_limit == 2
@@ -281,7 +281,7 @@
     limit = {"waiting_limit_tokens": 100_000, "customer": "large"}
     for number in range(3):
         cell.enqueue(make_ticket(number, 30_000, now_s=1.0, **limit), now_s=1.0)
-    with pytest.raises(NotRun) as caught:
+    with pytest.raises(NotRunError) as caught:
         cell.enqueue(make_ticket(9, 30_000, now_s=1.0, **limit), now_s=1.0)
     assert caught.value.reason is Reason.CUSTOMER_LIMIT
     cell.enqueue(make_ticket(10, 30_000, now_s=1.0, customer="small"), now_s=1.0)
@@ -290,7 +290,7 @@
 def test_a_request_that_can_not_finish_is_refused_at_once_with_when_to_come_back():
     cell = make_cell(prefill_tokens_per_s=10_000.0)
     late = make_ticket(1, 100_000, now_s=1.0, deadline_s=3.0)
-    with pytest.raises(NotRun) as caught:
+    with pytest.raises(NotRunError) as caught:
         cell.enqueue(late, now_s=1.0)
     assert caught.value.reason is Reason.OVERLOADED
     assert caught.value.retry_after_s > 0
--- a/lycheetide/scheduling/tests/test_unsent.py
+++ b/lycheetide/scheduling/tests/test_unsent.py
@@ -10,7 +10,7 @@
     rule,
 )
 
-from lycheetide.outcomes import NotRun
+from lycheetide.outcomes import NotRunError
 from lycheetide.scheduling import Cell, LoadReport
 from lycheetide.scheduling.tests.test_cell import (
     CAPACITY,
@@ -60,7 +60,7 @@
             ticket = make_ticket(self.number, now_s=self.now_s)
             try:
                 self.cell.enqueue(ticket, now_s=self.now_s)
-            except NotRun:
+            except NotRunError:
                 continue
         self.unsent += self.cell.schedule(now_s=self.now_s)
 
