--- a/lycheetide/losses/__init__.py
+++ b/lycheetide/losses/__init__.py
@@ -1,6 +1,6 @@
 """Find failed and late requests, and resource usage, in a fleet's saved logs."""
 
-from lycheetide.losses._account import detect_losses
+from lycheetide.losses._detection import detect_losses
 from lycheetide.losses._log_reader import read_events
 from lycheetide.losses._plot import save_loss_plot
 from lycheetide.losses._summary import format_summary, summarize
--- a/lycheetide/losses/_summary.py
+++ b/lycheetide/losses/_summary.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Iterator
 from datetime import datetime
 
-from lycheetide.losses._account import detect_losses
+from lycheetide.losses._detection import detect_losses
 from lycheetide.losses._types import (
     UNPREVENTABLE_CAUSES,
     BlockingPrompt,
