--- a/lycheetide/charts/_chart.py
+++ b/lycheetide/charts/_chart.py
@@ -33,7 +33,7 @@
     flags: Mapping[str, frozenset[str]]
     transitions: Mapping[tuple[str, str], str]
 
-    def step(self, state, event):
+    def next_state(self, state, event):
         """Return the next state for ``event`` in ``state``.
 
         Raises
@@ -43,7 +43,7 @@
 
         Examples
         --------
-        >>> load_chart("upstream").step("cold", "reported_warm")
+        >>> load_chart("upstream").next_state("cold", "reported_warm")
         'warm'
         """
         target = self.transitions.get((state, event))
@@ -53,7 +53,7 @@
             )
         return target
 
-    def has(self, state, flag):
+    def has_flag(self, state, flag):
         """Return whether ``state`` has ``flag``."""
         return state in self.flags.get(flag, frozenset())
 
--- a/lycheetide/charts/tests/test_chart.py
+++ b/lycheetide/charts/tests/test_chart.py
@@ -25,16 +25,16 @@
     flagged "unsent", and the run keeps the fact that the request was sent.
     """
     chart = load_chart("request")
-    assert not chart.has("sent", "unsent")
-    assert not chart.has("answering", "unsent")
+    assert not chart.has_flag("sent", "unsent")
+    assert not chart.has_flag("answering", "unsent")
 
 
 def test_sent_booking_is_never_released():
     chart = load_chart("booking")
     for state in ("sent", "recorded", "unknown"):
-        assert not chart.has(state, "unsent")
+        assert not chart.has_flag(state, "unsent")
         with pytest.raises(StateChartError):
-            chart.step(state, "released")
+            chart.next_state(state, "released")
 
 
 def test_invalid_chart_reports_all_errors():
--- a/lycheetide/fleet/_availability.py
+++ b/lycheetide/fleet/_availability.py
@@ -27,4 +27,4 @@
     if upstream is None or upstream.state != "in":
         return False
     domain = domains.get(upstream.failure_domain)
-    return domain is not None and not DOMAIN_CHART.has(domain.state, "closed")
+    return domain is not None and not DOMAIN_CHART.has_flag(domain.state, "closed")
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -120,7 +120,7 @@
 
     def step(self, event):
         """Apply an event to the state chart."""
-        self.state = CHART.step(self.state, event)
+        self.state = CHART.next_state(self.state, event)
 
 
 async def serve_booking(node, admitted, operation, body, key):
@@ -227,7 +227,7 @@
         run.error = error
     except Exception:
         log.exception("A booking failed because of an internal error.")
-        unsent = CHART.has(run.state, "unsent")
+        unsent = CHART.has_flag(run.state, "unsent")
         run.abandoned = True
         error_type = NotRunError if unsent else OutcomeUnknownError
         run.error = error_type(Reason.INTERNAL, "an error inside the node", status=500)
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -111,7 +111,7 @@
 
     def step(self, event):
         """Apply an event to the lifecycle state."""
-        self.lifecycle_state = CHART.step(self.lifecycle_state, event)
+        self.lifecycle_state = CHART.next_state(self.lifecycle_state, event)
 
 
 @dataclass(frozen=True)
@@ -223,7 +223,7 @@
     node.counters.add_retry(reason)
     if not isinstance(error, UpstreamRefusedError):
         run.avoid.extend(replicas)
-    if CHART.has(run.lifecycle_state, "unsent"):
+    if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("permit_stale")
     else:
         run.step("broke")
@@ -347,7 +347,7 @@
         except UpstreamError as error:
             errors.append(error)
 
-    if CHART.has(run.lifecycle_state, "unsent"):
+    if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("dispatched")
     run.may_have_started = True
     async with anyio.create_task_group() as group:
@@ -381,7 +381,7 @@
         if holding_id and all(held != holding_id for _, held in holdings):
             holdings.append((upstream, holding_id))
 
-    if CHART.has(run.lifecycle_state, "unsent"):
+    if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("dispatched")
     node.note(
         admitted.request_id, "An attempt was sent.",
--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -169,12 +169,12 @@
     def step(self, event):
         """Apply an event to the node's lifecycle state; return whether it changed."""
         before = self.lifecycle_state
-        self.lifecycle_state = CHART.step(before, event)
+        self.lifecycle_state = CHART.next_state(before, event)
         return self.lifecycle_state != before
 
     def has_state_flag(self, flag):
         """Return whether the node's lifecycle state has a flag in the chart."""
-        return CHART.has(self.lifecycle_state, flag)
+        return CHART.has_flag(self.lifecycle_state, flag)
 
     def is_fresh(self, *, now_s):
         """Return whether this node can know the configuration in force."""
--- a/lycheetide/scheduling/_cell.py
+++ b/lycheetide/scheduling/_cell.py
@@ -106,7 +106,7 @@
         )
         self.replicas[name] = replace(
             current,
-            phase=CHART.step(current.phase, event),
+            phase=CHART.next_state(current.phase, event),
             boot_id=report.boot_id,
             report_asked_s=asked_s,
             ramp_limit=ramp,
@@ -239,7 +239,7 @@
         current = self.replicas.get(name)
         if current is None:
             return
-        phase = CHART.step(current.phase, event)
+        phase = CHART.next_state(current.phase, event)
         ramp = current.upstream.cold_limit_requests
         self.replicas[name] = replace(current, phase=phase, ramp_limit=ramp)
 
@@ -289,7 +289,7 @@
         owner, some hundred times a day.
         """
         return sum(
-            replica.is_open and CHART.has(replica.phase, "unknown")
+            replica.is_open and CHART.has_flag(replica.phase, "unknown")
             for replica in self.replicas.values()
         )
 
@@ -569,7 +569,7 @@
 
 def _is_usable(replica):
     """Tell whether a replica may be granted any requests."""
-    return replica.is_open and not CHART.has(replica.phase, "closed")
+    return replica.is_open and not CHART.has_flag(replica.phase, "closed")
 
 
 def _make_replica(upstream, is_open, now_s):
--- a/lycheetide/scheduling/_limits.py
+++ b/lycheetide/scheduling/_limits.py
@@ -33,16 +33,16 @@
     for the next owner, who may grant it before the earlier owner's lease has expired.
     Without this limit, engines that restart under load would be overloaded and crash.
     """
-    if not replica.is_open or CHART.has(replica.phase, "closed"):
+    if not replica.is_open or CHART.has_flag(replica.phase, "closed"):
         return 0
     cold_limit = replica.upstream.cold_limit_requests
     in_flight = _count_in_flight(replica, permits)
     unconfirmed = _count_unconfirmed(permits, met)
     if not is_settled:
-        if CHART.has(replica.phase, "limited") or cold_limit < 2:
+        if CHART.has_flag(replica.phase, "limited") or cold_limit < 2:
             return 0
         return max(0, min(replica.ramp_limit - in_flight, 1 - unconfirmed))
-    if CHART.has(replica.phase, "limited"):
+    if CHART.has_flag(replica.phase, "limited"):
         return max(0, cold_limit - in_flight)
     max_unconfirmed = max(1, cold_limit - 1)
     return max(0, min(replica.ramp_limit - in_flight, max_unconfirmed - unconfirmed))
@@ -56,9 +56,9 @@
     """
     if not replica.is_open:
         return False
-    if CHART.has(replica.phase, "unknown"):
+    if CHART.has_flag(replica.phase, "unknown"):
         return True
-    if CHART.has(replica.phase, "closed"):
+    if CHART.has_flag(replica.phase, "closed"):
         return False
     max_unconfirmed = max(1, replica.upstream.cold_limit_requests - 1)
     return _count_unconfirmed(permits, met) >= max_unconfirmed
