--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lycheetide.model import (
+from lycheetide.simulation import (
     DENSE_ENGINE,
     RELAY_POLICIES,
     PromptKind,
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -13,7 +13,7 @@
 from matplotlib.figure import Figure
 
 from lycheetide.load import plan_requests
-from lycheetide.model import POLICIES, SimulationSettings, simulate_engines
+from lycheetide.simulation import POLICIES, SimulationSettings, simulate_engines
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = ROOT / "benchmarks" / "results" / "policy.json"
--- a/examples/plot_huge_beside_short.py
+++ b/examples/plot_huge_beside_short.py
@@ -9,7 +9,7 @@
 from matplotlib.figure import Figure
 
 from lycheetide.load import plan_requests
-from lycheetide.model import POLICIES, simulate_engines
+from lycheetide.simulation import POLICIES, simulate_engines
 
 POLICY_NAMES = ("least outstanding", "lycheetide")
 PLAN = list(plan_requests(1_500, rate_per_s=60.0, random_state=3, answer_tokens=32))
--- a/lycheetide/placement/tests/test_herd.py
+++ b/lycheetide/placement/tests/test_herd.py
@@ -14,7 +14,6 @@
 import pytest
 
 from lycheetide.gossip import Job, JobTable
-from lycheetide.model import DENSE_ENGINE
 from lycheetide.placement import (
     Candidate,
     RequestSize,
@@ -22,6 +21,7 @@
     place_prompt,
     rank_replicas,
 )
+from lycheetide.simulation import DENSE_ENGINE
 
 SIZE = RequestSize(5_000, 1_500)
 SIMULATED_S = 5.0
--- a/lycheetide/model/__init__.py
+++ b/lycheetide/simulation/__init__.py
@@ -4,13 +4,13 @@
 every machine.
 """
 
-from lycheetide.model._engine import BatchingEngine, EngineJob
-from lycheetide.model._engine_simulation import (
+from lycheetide.simulation._engine import BatchingEngine, EngineJob
+from lycheetide.simulation._engine_simulation import (
     RequestResult,
     SimulationSettings,
     simulate_engines,
 )
-from lycheetide.model._policies import (
+from lycheetide.simulation._policies import (
     POLICIES,
     make_affinity,
     make_least_outstanding,
@@ -18,8 +18,8 @@
     make_random,
     make_round_robin,
 )
-from lycheetide.model._relay_policies import RELAY_POLICIES
-from lycheetide.model._relay_simulation import (
+from lycheetide.simulation._relay_policies import RELAY_POLICIES
+from lycheetide.simulation._relay_simulation import (
     DENSE_ENGINE,
     KindResult,
     PromptKind,
--- a/lycheetide/model/_engine_simulation.py
+++ b/lycheetide/simulation/_engine_simulation.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from lycheetide.fleet import FailureDomain, Upstream
-from lycheetide.model._engine import BatchingEngine, EngineJob
 from lycheetide.outcomes import NotRunError
 from lycheetide.scheduling import LoadReport, Ticket
+from lycheetide.simulation._engine import BatchingEngine, EngineJob
 
 # Time from the decision until a request reaches its engines.
 DISPATCH_S = 0.002
--- a/lycheetide/model/_relay_simulation.py
+++ b/lycheetide/simulation/_relay_simulation.py
@@ -13,8 +13,6 @@
 from dataclasses import dataclass, field
 
 from lycheetide.gossip import Job, JobPart, JobTable
-from lycheetide.model._passes import DecodeTask, PassEngine, PrefillTask
-from lycheetide.model._relay_policies import PlacementQuery
 from lycheetide.placement import (
     SHORT_PREFILL_S,
     Candidate,
@@ -26,6 +24,8 @@
     rank_replicas,
 )
 from lycheetide.routes import EngineProfile
+from lycheetide.simulation._pass_engine import DecodeTask, PassEngine, PrefillTask
+from lycheetide.simulation._relay_policies import PlacementQuery
 
 DENSE_ENGINE = EngineProfile(
     slots=8,
--- a/lycheetide/model/tests/test_drive.py
+++ b/lycheetide/simulation/tests/test_drive.py
@@ -6,7 +6,7 @@
 import pytest
 
 from benchmarks.policy import find_quantile, is_short, make_plan
-from lycheetide.model import POLICIES, SimulationSettings, simulate_engines
+from lycheetide.simulation import POLICIES, SimulationSettings, simulate_engines
 
 SETTINGS = SimulationSettings()
 COUNT = 2_000
--- a/lycheetide/model/tests/test_relays.py
+++ b/lycheetide/simulation/tests/test_relays.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from lycheetide.model import (
+from lycheetide.placement import place_prompt
+from lycheetide.simulation import (
     DENSE_ENGINE,
     RELAY_POLICIES,
     PromptKind,
     RelayModel,
     simulate_relays,
 )
-from lycheetide.model._passes import DecodeTask, PassEngine, PrefillTask
-from lycheetide.placement import place_prompt
+from lycheetide.simulation._pass_engine import DecodeTask, PassEngine, PrefillTask
 
 ENGINE = dataclasses.replace(DENSE_ENGINE, slots=6, steps_per_pass=48)
 FLEET = RelayModel(
