--- a/lycheetide/simulation/__init__.py
+++ b/lycheetide/simulation/__init__.py
@@ -6,7 +6,7 @@
 
 from lycheetide.simulation._engine import BatchingEngine, EngineJob
 from lycheetide.simulation._engine_simulation import (
-    RequestResult,
+    SimulatedRequest,
     SimulationSettings,
     simulate_engines,
 )
@@ -38,7 +38,7 @@
     "PromptKind",
     "RelayModel",
     "RelayResult",
-    "RequestResult",
+    "SimulatedRequest",
     "SimulationSettings",
     "make_affinity",
     "make_least_outstanding",
--- a/lycheetide/simulation/_engine_simulation.py
+++ b/lycheetide/simulation/_engine_simulation.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class RequestResult:
+class SimulatedRequest:
     """Result of one simulated request.
 
     Parameters
@@ -113,7 +113,7 @@
             for u in self.upstreams
         }
         self.running: dict[str, _RunningRequest] = {}
-        self.results: dict[int, RequestResult] = {}
+        self.results: dict[int, SimulatedRequest] = {}
         self.plan = list(plan)
         self.waiting: dict[str, Any] = {}
         self.extra_report_asked_s: dict[str, float] = {}
@@ -286,7 +286,7 @@
         self, now_s, request_id, outcome, first_token_s, has_cache_hit=False
     ):
         request = self.waiting.pop(request_id)
-        self.results[request.seed] = RequestResult(
+        self.results[request.seed] = SimulatedRequest(
             request,
             outcome,
             None if first_token_s is None else first_token_s - request.at_s,
@@ -353,7 +353,7 @@
 
     Returns
     -------
-    list of RequestResult
+    list of SimulatedRequest
         In the order of the plan. The same arguments always give the same list.
     """
     return _EngineSimulation(
