--- a/lycheetide/node/_booking_forwarding.py
+++ b/lycheetide/node/_booking_forwarding.py
@@ -13,7 +13,7 @@
 from lycheetide.node._booking_keys import hash_call
 from lycheetide.node._state import BOOKING_STREAM, read_clock
 from lycheetide.outcomes import NotRunError, OutcomeUnknownError, Reason
-from lycheetide.peers import BookingStatus, PeerUnreached, RunBookingRequest
+from lycheetide.peers import BookingStatus, PeerUnreachable, RunBookingRequest
 from lycheetide.platformlog import LogUnavailable
 from lycheetide.upstreams import ServiceAnswer
 
@@ -59,7 +59,7 @@
     while member is not None and read_clock() < admitted.deadline_s:
         try:
             reply = await _call_issuer(node, member, admitted, operation, body, key)
-        except PeerUnreached:
+        except PeerUnreachable:
             node.counters.add("bookings.home_unreached")
             await anyio.sleep(POLL_INTERVAL_S)
             if node.membership.view.find(key.issuer_id) is None:
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -47,7 +47,7 @@
 from lycheetide.peers import (
     BookingQuery,
     BookingStatus,
-    PeerUnreached,
+    PeerUnreachable,
 )
 from lycheetide.platformlog import LogUnavailable
 from lycheetide.routing import RetryDecision, decide_retry
@@ -362,7 +362,7 @@
             BookingQuery(holder_id, run.key.text),
             timeout_s=QUERY_TIMEOUT_S,
         )
-    except PeerUnreached:
+    except PeerUnreachable:
         node.counters.add("bookings.holder_unreached")
         return
     if reply.status is BookingStatus.ANSWERED:
--- a/lycheetide/node/_cell_owner.py
+++ b/lycheetide/node/_cell_owner.py
@@ -17,7 +17,7 @@
     HandOverRequest,
     HandOverStatus,
     MetReply,
-    PeerUnreached,
+    PeerUnreachable,
     RenewReply,
 )
 from lycheetide.scheduling import Cell, SchedulingPolicy, Ticket
@@ -145,7 +145,7 @@
         reply = await node.peers.call(
             member.peer_address, "hand_over", request, timeout_s=HAND_OVER_TIMEOUT_S
         )
-    except PeerUnreached:
+    except PeerUnreachable:
         return
     if reply.status is HandOverStatus.NOT_YET:
         return
--- a/lycheetide/node/_heartbeats.py
+++ b/lycheetide/node/_heartbeats.py
@@ -7,7 +7,7 @@
 from lycheetide.membership import make_view_record
 from lycheetide.metrics import get_logger
 from lycheetide.node._state import generate_id, read_clock
-from lycheetide.peers import PeerUnreached, PullReply, PullRequest
+from lycheetide.peers import PeerUnreachable, PullReply, PullRequest
 from lycheetide.platformlog import LogUnavailable
 
 PULL_TIMEOUT_S = 1.0
@@ -91,7 +91,7 @@
         reply = await node.peers.call(
             address, "pull", PullRequest(own_row), timeout_s=timeout_s
         )
-    except PeerUnreached:
+    except PeerUnreachable:
         node.counters.add("heartbeats.unanswered")
         return
     now_s = read_clock()
--- a/lycheetide/node/_log_followers.py
+++ b/lycheetide/node/_log_followers.py
@@ -12,7 +12,7 @@
     MAX_VERDICTS,
     read_clock,
 )
-from lycheetide.peers import ConfigReply, ConfigRequest, PeerUnreached
+from lycheetide.peers import ConfigReply, ConfigRequest, PeerUnreachable
 from lycheetide.platformlog import LogUnavailable, read_hosts
 
 RETRY_DELAY_S = 0.2
@@ -129,7 +129,7 @@
                 ConfigRequest(node.config.version),
                 timeout_s=PEER_CONFIG_TIMEOUT_S,
             )
-        except PeerUnreached:
+        except PeerUnreachable:
             continue
         if reply.snapshot is None:
             continue
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -16,7 +16,7 @@
     AdoptRequest,
     FinishRequest,
     MetRequest,
-    PeerUnreached,
+    PeerUnreachable,
     RenewRequest,
 )
 from lycheetide.routing import check_dispatch, rank_cells
@@ -173,7 +173,7 @@
                 request,
                 timeout_s=ACQUIRE_TIMEOUT_S,
             )
-        except PeerUnreached:
+        except PeerUnreachable:
             node.counters.add("permits.owner_unreached")
             node.tasks.start_soon(withdraw, node, cell, ticket_id)
             await anyio.sleep(RETRY_DELAY_S)
@@ -244,7 +244,7 @@
 
     Raises
     ------
-    PeerUnreached
+    PeerUnreachable
         If another node does not answer in time.
     """
     if owner == node.own:
@@ -357,7 +357,7 @@
         return
     try:
         await _call_owner(node, owner, name, request)
-    except PeerUnreached:
+    except PeerUnreachable:
         node.counters.add(f"permits.{name}_lost")
 
 
@@ -381,7 +381,7 @@
     request = RenewRequest(cell, permit_ids)
     try:
         reply = await _call_owner(node, owner, "renew", request)
-    except PeerUnreached:
+    except PeerUnreachable:
         return
     permits = tuple(
         node.permits[permit_id].permit
@@ -393,5 +393,5 @@
     node.counters.add("permits.reported_again", len(permits))
     try:
         await _call_owner(node, owner, "adopt", AdoptRequest(cell, permits))
-    except PeerUnreached:
+    except PeerUnreachable:
         return
--- a/lycheetide/peers/__init__.py
+++ b/lycheetide/peers/__init__.py
@@ -1,6 +1,6 @@
 """Messages between nodes, and the gRPC client and server that carry them."""
 
-from lycheetide.peers._client import PeerClient, PeerUnreached
+from lycheetide.peers._client import PeerClient, PeerUnreachable
 from lycheetide.peers._messages import (
     AcquireReply,
     AcquireRequest,
@@ -46,7 +46,7 @@
     "MetReply",
     "MetRequest",
     "PeerClient",
-    "PeerUnreached",
+    "PeerUnreachable",
     "PullReply",
     "PullRequest",
     "RenewReply",
--- a/lycheetide/peers/_client.py
+++ b/lycheetide/peers/_client.py
@@ -22,7 +22,7 @@
 )
 
 
-class PeerUnreached(Exception):
+class PeerUnreachable(Exception):
     """A peer did not answer in time; it may have executed the call all the same."""
 
 
@@ -62,7 +62,7 @@
 
         Raises
         ------
-        PeerUnreached
+        PeerUnreachable
             If there is no answer.
         """
         self.counts[name] += 1
@@ -70,14 +70,16 @@
         try:
             return await method(request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
-            raise PeerUnreached(f"{name} at {address}: {error.code().name}") from error
+            raise PeerUnreachable(
+                f"{name} at {address}: {error.code().name}"
+            ) from error
         except asyncio.CancelledError:
             # gRPC raises a CancelledError of its own instead of the one it received.
             # An anyio cancel scope does not recognize it, so a deadline that passed
             # during a call ended the whole task silently, and callers got an empty
             # answer. The checkpoint raises the scope's own cancellation, if any.
             await anyio.lowlevel.checkpoint()
-            raise PeerUnreached(f"{name} at {address}: cancelled") from None
+            raise PeerUnreachable(f"{name} at {address}: cancelled") from None
 
     def _get_stub(self, address, name):
         """Return the stub of a method at an address, creating it on first use."""
--- a/lycheetide/peers/tests/test_client.py
+++ b/lycheetide/peers/tests/test_client.py
@@ -9,7 +9,7 @@
 import h2.events
 import pytest
 
-from lycheetide.peers import ConfigRequest, PeerClient, PeerUnreached
+from lycheetide.peers import ConfigRequest, PeerClient, PeerUnreachable
 from standins.local import find_port
 
 
@@ -64,7 +64,7 @@
         )
         async with anyio.create_task_group() as group:
             group.start_soon(listener.serve, server.handle)
-            with pytest.raises(PeerUnreached):
+            with pytest.raises(PeerUnreachable):
                 await call(f"127.0.0.1:{port}")
             group.cancel_scope.cancel()
 
