--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -16,7 +16,7 @@
 from lycheetide.peers import PeerClient
 from lycheetide.platformlog import GroupWriter, LogClient
 from lycheetide.routing import is_fresh
-from lycheetide.tasks import Standstill
+from lycheetide.tasks import StallDetector
 from lycheetide.upstreams import make_http_client
 
 CONFIG_STREAM = "config"
@@ -141,7 +141,7 @@
         self.request_traces = RequestTraces()
         self.budgets = CustomerRetryBudgets()
         self.active = {}
-        self.standstill = Standstill()
+        self.stall_detector = StallDetector()
         self.tasks = None
         self._index = None
 
@@ -193,7 +193,7 @@
         """
         if self.is_fresh(now_s=now_s):
             return False
-        return self.standstill.is_just_over(now_s=now_s, within_s=STALL_RECOVERY_S)
+        return self.stall_detector.has_stalled(now_s=now_s, within_s=STALL_RECOVERY_S)
 
     def note(self, request_id, what, **fields):
         """Record a step of a request for ``lycheetide explain``."""
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -31,7 +31,7 @@
 from lycheetide.relay._usage import UsageCounter
 from lycheetide.replicas import ReplicaTable, exclude_failed_domains
 from lycheetide.routes import RouteTable
-from lycheetide.tasks import Standstill
+from lycheetide.tasks import StallDetector
 
 
 def read_clock():
@@ -109,7 +109,7 @@
         self.memory_queue = MemoryQueue()
         self.peers = PeerTable(settings.peer_address, fleet=settings.store_address)
         self.pool = ChannelPool()
-        self.standstill = Standstill()
+        self.stall_detector = StallDetector()
         self.started_s = read_clock()
         self.used = UsageCounter(now_s=self.started_s)
         self.active = 0
--- a/lycheetide/tasks/_stall.py
+++ b/lycheetide/tasks/_stall.py
@@ -19,7 +19,7 @@
 log = get_logger("node")
 
 
-class Standstill:
+class StallDetector:
     """Detects when this process last stalled, from the ticks of its event loop."""
 
     def __init__(self):
@@ -36,7 +36,7 @@
         self._ended_s = now_s
         return stalled_s
 
-    def is_just_over(self, *, now_s, within_s):
+    def has_stalled(self, *, now_s, within_s):
         """Return whether a stall ended recently, or ends now and has no tick yet."""
         if (
             self._last_tick_s is not None
@@ -49,7 +49,7 @@
 async def watch_standstill(node):
     """Log and count the stalls of a node's process; never returns."""
     while True:
-        stalled_s = node.standstill.tick(now_s=time.monotonic())
+        stalled_s = node.stall_detector.tick(now_s=time.monotonic())
         if stalled_s:
             node.counters.add("node.stood_still")
             log.info(
--- a/soak/run.py
+++ b/soak/run.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from lycheetide.tasks import TICK_S, Standstill
+from lycheetide.tasks import TICK_S, StallDetector
 from soak.callers import CALL_KINDS, CALL_KINDS_WITH_PATIENT, CALLER_COUNT, run_caller
 from soak.deployment import PATIENT_TIMEOUT_MS, STOP_NOTICE_S, STOP_S, Deployment
 from soak.faults import FaultInjector
@@ -110,7 +110,7 @@
 async def _record_stalls(stalls):
     """Record stalls of this process until cancelled."""
     started_s = time.monotonic()
-    stall_detector = Standstill()
+    stall_detector = StallDetector()
     while True:
         now_s = time.monotonic()
         stalled_s = stall_detector.tick(now_s=now_s)
