--- a/lycheetide/platform/__init__.py
+++ b/lycheetide/platform/__init__.py
@@ -12,24 +12,29 @@
     decode_answer,
     decode_request,
     encode_attempt,
-    encode_own_answer,
-    relayed_headers,
+    encode_node_response_headers,
+    filter_response_headers,
+)
+from lycheetide.platform._store import (
+    NODES_TOPIC,
+    OPERATOR_TOPIC,
+    REGISTRY_TOPIC,
+    StoreClient,
 )
-from lycheetide.platform._store import NODES, OPERATOR, REGISTRY, StoreClient
 
 __all__ = [
-    "NODES",
-    "OPERATOR",
+    "NODES_TOPIC",
+    "OPERATOR_TOPIC",
     "READY_PATH",
-    "REGISTRY",
+    "REGISTRY_TOPIC",
     "StoreClient",
     "decode_answer",
     "decode_operator_records",
     "decode_registry_records",
     "decode_request",
     "encode_attempt",
-    "encode_own_answer",
+    "encode_node_response_headers",
     "encode_release",
     "encode_reserve",
-    "relayed_headers",
+    "filter_response_headers",
 ]
--- a/lycheetide/platform/_requests.py
+++ b/lycheetide/platform/_requests.py
@@ -215,7 +215,7 @@
     )
 
 
-def relayed_headers(headers):
+def filter_response_headers(headers):
     """Return the headers of a replica's response that are passed to the caller."""
     return [
         (key, value)
@@ -224,7 +224,7 @@
     ]
 
 
-def encode_own_answer(request, *, retry_after_s):
+def encode_node_response_headers(request, *, retry_after_s):
     """Return the headers of a response that the node itself gives.
 
     Parameters
--- a/lycheetide/platform/_store.py
+++ b/lycheetide/platform/_store.py
@@ -20,11 +20,11 @@
     encode_record,
 )
 
-OPERATOR = "keyed.op"
+OPERATOR_TOPIC = "keyed.op"
 """Topic of operators' records: the configuration and failure domains out of service."""
-REGISTRY = "keyed.servers"
+REGISTRY_TOPIC = "keyed.servers"
 """Topic of the records that replicas write about themselves."""
-NODES = "keyed.lycheetide-nodes"
+NODES_TOPIC = "keyed.lycheetide-nodes"
 """Topic to which the nodes of this system write their addresses."""
 
 MAX_READ_KB = 1_024
--- a/lycheetide/relay/_buffered.py
+++ b/lycheetide/relay/_buffered.py
@@ -67,7 +67,7 @@
     if last_answer is None:
         raise make_refusal(call, Cause.NO_REPLICA)
     answer, body = last_answer
-    headers = relay.adapter.relayed_headers(answer.headers)
+    headers = relay.adapter.filter_response_headers(answer.headers)
     await reply.send_whole(answer.status, headers, body)
 
 
--- a/lycheetide/relay/_follow.py
+++ b/lycheetide/relay/_follow.py
@@ -95,7 +95,10 @@
 async def read_once(relay, store, name, *, wait_s):
     """Read new records of one topic from the store, or from a peer if that fails."""
     source = getattr(relay, name)
-    topic = {"operator": relay.adapter.OPERATOR, "registry": relay.adapter.REGISTRY}
+    topic = {
+        "operator": relay.adapter.OPERATOR_TOPIC,
+        "registry": relay.adapter.REGISTRY_TOPIC,
+    }
     begun_s = read_clock()
     try:
         batch = await store.read(
--- a/lycheetide/relay/_ingress.py
+++ b/lycheetide/relay/_ingress.py
@@ -139,7 +139,7 @@
     Refusal or CallerDisconnected
         The refusal, or the error if the caller disconnected before it was sent.
     """
-    headers = relay.adapter.encode_own_answer(
+    headers = relay.adapter.encode_node_response_headers(
         request, retry_after_s=refusal.retry_after_s
     )
     body = msgspec.json.encode({"error": str(refusal.cause)})
--- a/lycheetide/relay/_messaging.py
+++ b/lycheetide/relay/_messaging.py
@@ -426,11 +426,11 @@
         try:
             if not is_written:
                 await store.append(
-                    relay.adapter.NODES, address, b"1", timeout_s=DISCOVER_RETRY_S
+                    relay.adapter.NODES_TOPIC, address, b"1", timeout_s=DISCOVER_RETRY_S
                 )
                 is_written = True
             batch = await store.read(
-                relay.adapter.NODES, -1, wait_s=0.0, timeout_s=DISCOVER_RETRY_S
+                relay.adapter.NODES_TOPIC, -1, wait_s=0.0, timeout_s=DISCOVER_RETRY_S
             )
         except StoreUnavailable as error:
             relay.log.info("Peers can't be looked up.", extra={"cause": str(error)})
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -212,7 +212,7 @@
     async with progress.write_lock:
         if reply.is_started:
             return
-        headers = relay.adapter.relayed_headers(attempt.answer.headers)
+        headers = relay.adapter.filter_response_headers(attempt.answer.headers)
         call.is_begun = True
         await reply.start(200, headers)
 
@@ -255,7 +255,7 @@
             f"status {attempt.answer.status}",
             may_have_run=True,
         )
-    headers = relay.adapter.relayed_headers(attempt.answer.headers)
+    headers = relay.adapter.filter_response_headers(attempt.answer.headers)
     stream_attempt.cancel_others()
     await reply.send_whole(attempt.answer.status, headers, body)
 
--- a/lycheetide/relay/tests/test_first_news.py
+++ b/lycheetide/relay/tests/test_first_news.py
@@ -59,7 +59,7 @@
     return SimpleNamespace(**vars(platform) | {"StoreClient": SlowClient})
 
 
-@pytest.mark.parametrize("topic", [platform.OPERATOR, platform.REGISTRY])
+@pytest.mark.parametrize("topic", [platform.OPERATOR_TOPIC, platform.REGISTRY_TOPIC])
 async def test_a_caller_that_comes_before_the_first_news_waits_for_it(topic):
     """Guards against clients that are refused while the first state is on its way.
 
