--- a/lycheetide/node/_run.py
+++ b/lycheetide/node/_run.py
@@ -84,7 +84,7 @@
 
     Parameters
     ----------
-    settings : Settings
+    settings : NodeSettings
         The settings of the node.
     """
     check_addresses(settings)
--- a/lycheetide/node/_state.py
+++ b/lycheetide/node/_state.py
@@ -107,7 +107,7 @@
 
     Parameters
     ----------
-    settings : Settings
+    settings : NodeSettings
         Settings that the node was started with.
     """
 
--- a/lycheetide/settings/__init__.py
+++ b/lycheetide/settings/__init__.py
@@ -3,13 +3,13 @@
 from lycheetide.settings._findings import Finding, SettingsError
 from lycheetide.settings._read import read_settings
 from lycheetide.settings._relay import RelaySettings
-from lycheetide.settings._schema import NODE_FIELDS, Settings
+from lycheetide.settings._schema import NODE_FIELDS, NodeSettings
 
 __all__ = [
     "NODE_FIELDS",
     "Finding",
+    "NodeSettings",
     "RelaySettings",
-    "Settings",
     "SettingsError",
     "read_settings",
 ]
--- a/lycheetide/settings/_read.py
+++ b/lycheetide/settings/_read.py
@@ -6,7 +6,7 @@
 
 from lycheetide.settings._findings import Finding, SettingsError
 from lycheetide.settings._relay import RELAY_FIELDS, RelaySettings
-from lycheetide.settings._schema import NODE_FIELDS, Settings
+from lycheetide.settings._schema import NODE_FIELDS, NodeSettings
 
 RELAY_SECTION = "relay"
 """A file with this section holds the settings of a relay."""
@@ -25,7 +25,7 @@
 
     Returns
     -------
-    Settings or RelaySettings
+    NodeSettings or RelaySettings
         The validated settings; those of a relay if the file has a relay section.
 
     Raises
@@ -55,7 +55,7 @@
         raise ExceptionGroup(
             "invalid settings", [SettingsError(finding) for finding in findings]
         )
-    return RelaySettings(**values) if is_relay else Settings(**values)
+    return RelaySettings(**values) if is_relay else NodeSettings(**values)
 
 
 def _find_line_numbers(text):
@@ -106,8 +106,8 @@
 
 def _find_conflicts(values, lines, path):
     """Yield a finding for each conflict between settings."""
-    lease_s = values.get("lease_s", Settings.lease_s)
-    interval_s = values.get("heartbeat_interval_s", Settings.heartbeat_interval_s)
+    lease_s = values.get("lease_s", NodeSettings.lease_s)
+    interval_s = values.get("heartbeat_interval_s", NodeSettings.heartbeat_interval_s)
     if lease_s < 2 * interval_s:
         line = lines.get(("membership", "lease_s"), 0)
         expected = "at least two heartbeat intervals"
--- a/lycheetide/settings/_schema.py
+++ b/lycheetide/settings/_schema.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Settings:
+class NodeSettings:
     """The settings of one node; the fields are named as in the INI file."""
 
     name: str
