--- a/lycheetide/node/tests/test_bookings.py
+++ b/lycheetide/node/tests/test_bookings.py
@@ -7,8 +7,8 @@
 
 from lycheetide.fleet import FailureDomain
 from standins.callers import book, count_runs, get_key, list_started
+from standins.invariants import find_false_not_run
 from standins.local import DOMAINS
-from standins.promises import find_false_not_run
 
 
 def set_domains(fleet, state):
--- a/lycheetide/node/tests/test_cold.py
+++ b/lycheetide/node/tests/test_cold.py
@@ -7,8 +7,8 @@
 
 from lycheetide.node.tests.test_domains import send_prompts_for
 from standins.callers import ask_prompt
+from standins.invariants import find_broken, wait_memory_free
 from standins.local import LocalFleet, make_forge_works
-from standins.promises import find_broken, wait_memory_free
 
 COLD_S = 2.0
 
--- a/lycheetide/node/tests/test_domains.py
+++ b/lycheetide/node/tests/test_domains.py
@@ -7,7 +7,7 @@
 from lycheetide.fleet import FailureDomain, make_change_record, make_snapshot_record
 from lycheetide.fleet._fold import ConfigState
 from standins.callers import ask_prompt
-from standins.promises import find_broken
+from standins.invariants import find_broken
 
 MAX_PROPAGATION_S = 3.0
 DOMAIN = "cork-b"
--- a/lycheetide/node/tests/test_leaving_callers.py
+++ b/lycheetide/node/tests/test_leaving_callers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from standins.callers import CLIENT, make_headers, make_prompt, sum_held
-from standins.promises import wait_memory_free
+from standins.invariants import wait_memory_free
 
 MAX_RELEASE_S = 1.5
 """Work ends within 0.5 s; the rest is a margin for the processes of the test."""
--- a/lycheetide/node/tests/test_silence.py
+++ b/lycheetide/node/tests/test_silence.py
@@ -8,8 +8,8 @@
 
 from lycheetide.fleet import Customer, FailureDomain, RequestClass
 from standins.callers import ask_prompt, book, count_runs, get_key, post
+from standins.invariants import find_broken
 from standins.local import DOMAINS, TOKENS, LocalFleet, make_forge_works
-from standins.promises import find_broken
 
 SILENCE_S = 0.5
 STALL_S = 1.6
--- a/lycheetide/node/tests/test_stop.py
+++ b/lycheetide/node/tests/test_stop.py
@@ -8,7 +8,7 @@
 from lycheetide.node._run import HAND_OVER_TIMEOUT_S
 from lycheetide.node.tests.test_domains import send_prompts_for
 from standins.callers import ask_prompt, book, count_runs, get_key
-from standins.promises import find_broken, wait_memory_free
+from standins.invariants import find_broken, wait_memory_free
 
 STOP_S = 60.0
 
--- a/lycheetide/node/tests/test_streams.py
+++ b/lycheetide/node/tests/test_streams.py
@@ -6,7 +6,7 @@
 import pytest
 
 from standins.callers import ask_prompt, post, sum_held
-from standins.promises import find_broken, wait_memory_free
+from standins.invariants import find_broken, wait_memory_free
 
 
 def set_faults_on_all(fleet, **faults):
--- a/lycheetide/node/tests/test_thaw.py
+++ b/lycheetide/node/tests/test_thaw.py
@@ -6,7 +6,7 @@
 import pytest
 
 from standins.callers import ask_prompt
-from standins.promises import find_broken
+from standins.invariants import find_broken
 
 FROZEN_S = 3.0
 """Longer than a node's state stays fresh, so that it is stale when it resumes."""
--- a/lycheetide/relay/tests/test_answers.py
+++ b/lycheetide/relay/tests/test_answers.py
@@ -9,7 +9,7 @@
 from lycheetide.gossip import Job, JobPart
 from standins.http import LOOPBACK, Answer, Reset
 from standins.local import find_port
-from standins.relayed import CUSTOMER, KEY, Relayed, make_config
+from standins.relay_deployment import CUSTOMER, KEY, Relayed, make_config
 from standins.replica import SEAL, Replica, make_event
 
 pytestmark = pytest.mark.anyio
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -9,7 +9,7 @@
 from lycheetide.gossip._messages import JobPart
 from lycheetide.relay._selection import list_candidates
 from lycheetide.relay._serve import make_call
-from standins.relayed import HOST, KEY, Relayed
+from standins.relay_deployment import HOST, KEY, Relayed
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_first_news.py
+++ b/lycheetide/relay/tests/test_first_news.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lycheetide import platform
-from standins.relayed import Relayed
+from standins.relay_deployment import Relayed
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_knowledge.py
+++ b/lycheetide/relay/tests/test_knowledge.py
@@ -9,7 +9,7 @@
 
 from lycheetide import platform
 from lycheetide.exchange import StoreUnavailable
-from standins.relayed import CUSTOMER, Relayed, make_config
+from standins.relay_deployment import CUSTOMER, Relayed, make_config
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_leaving.py
+++ b/lycheetide/relay/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import pytest
 from anyio import connect_tcp, sleep
 
-from standins.relayed import HOST, KEY, Relayed
+from standins.relay_deployment import HOST, KEY, Relayed
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_reload.py
+++ b/lycheetide/relay/tests/test_reload.py
@@ -4,7 +4,7 @@
 import pytest
 
 from lycheetide.relay import _reload
-from standins.relayed import Relayed
+from standins.relay_deployment import Relayed
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -12,7 +12,7 @@
     must_read_registry,
     must_wait_for_operator_records,
 )
-from standins.relayed import Relayed, make_config
+from standins.relay_deployment import Relayed, make_config
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_silence.py
+++ b/lycheetide/relay/tests/test_silence.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from standins.relayed import Relayed, make_patient_config
+from standins.relay_deployment import Relayed, make_patient_config
 from standins.replica import Replica, make_event
 
 pytestmark = pytest.mark.anyio
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -25,7 +25,7 @@
 from lycheetide.relay._broadcast import MAX_BUNDLE_BYTES, Broadcaster, make_bundles
 from lycheetide.relay._messaging import BURST_PAUSE_S, MAX_BURST, PeerMessenger
 from lycheetide.relay._roles import HUB_TIMEOUT_S, find_hubs, is_hub
-from standins.relayed import Relayed
+from standins.relay_deployment import Relayed
 
 pytestmark = pytest.mark.anyio
 
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -9,7 +9,7 @@
 
 from lycheetide.gossip import JobPart, Started, make_job
 from standins.http import Answer
-from standins.relayed import Relayed, make_config, make_patient_config
+from standins.relay_deployment import Relayed, make_config, make_patient_config
 from standins.replica import Replica, make_event
 
 pytestmark = pytest.mark.anyio
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -17,7 +17,7 @@
 from soak.replicas import COLD_PER_S, RecordingReplica
 from standins.http import LOOPBACK
 from standins.local import catches_hangups, find_port, takes_hangups
-from standins.relayed import CUSTOMER, HOST, KEY, make_config
+from standins.relay_deployment import CUSTOMER, HOST, KEY, make_config
 from standins.store import Store
 
 FAILURE_DOMAINS = ("cork-a", "cork-b", "cork-c")
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -7,8 +7,8 @@
 
 from lycheetide.fleet import FailureDomain
 from standins.callers import ask_prompt, book, count_runs, get_key, post
+from standins.invariants import find_broken, wait_memory_free
 from standins.local import LocalFleet, make_forge_works
-from standins.promises import find_broken, wait_memory_free
 
 SIZES = ((1_000, "quote"), (10_000, "quote"), (100_000, "review"), (990_000, "archive"))
 DEADLINE_S = 40.0
