--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -41,8 +41,8 @@
 from lycheetide.routing import rank_cells
 from lycheetide.scheduling import Cell, LoadReport, Ticket
 from lycheetide.upstreams import fetch_holdings, fetch_report, make_http_client
-from standins.callers import ask_prompt, make_headers
-from standins.local import LocalFleet, make_forge_works
+from standins.callers import make_headers, send_prompt
+from standins.local import LocalFleet, start_example_fleet
 
 RESULTS = Path(__file__).resolve().parent / "results" / "control.json"
 ROUNDS = 5
@@ -304,7 +304,7 @@
         start_s = read_cpu_s(node)
         start_wall_s = time.monotonic()
         for seed in range(60):
-            answer = ask_prompt(node, 1_000, max_tokens=tokens, seed=seed)
+            answer = send_prompt(node, 1_000, max_tokens=tokens, seed=seed)
             assert answer.whole
         wall_s = time.monotonic() - start_wall_s
         costs[tokens] = (read_cpu_s(node) - start_s - idle_share * wall_s) / 60
@@ -351,7 +351,7 @@
     measured = {}
     for nodes in (3, 9):
         with LocalFleet() as fleet:
-            make_forge_works(
+            start_example_fleet(
                 fleet, engines=6, nodes=nodes, decode_s=0.0005,
                 prefill_tokens_per_s=10_000_000.0,
             )  # fmt: skip
--- a/lycheetide/httpclient/tests/test_pool.py
+++ b/lycheetide/httpclient/tests/test_pool.py
@@ -12,7 +12,7 @@
     OutgoingRequest,
     compute_idle_limit,
 )
-from standins.http import Answer, HttpServer, Reset
+from standins.http import ConnectionReset, HttpServer, Response
 
 pytestmark = pytest.mark.anyio
 
@@ -34,8 +34,8 @@
         nonlocal count
         count += 1
         if count in reset_requests:
-            raise Reset
-        return Answer(200, str(count).encode())
+            raise ConnectionReset
+        return Response(200, str(count).encode())
 
     async with HttpServer(handle).run() as server:
         yield server.address
--- a/lycheetide/node/tests/test_bookings.py
+++ b/lycheetide/node/tests/test_bookings.py
@@ -6,8 +6,13 @@
 import pytest
 
 from lycheetide.fleet import FailureDomain
-from standins.callers import book, count_runs, get_key, list_started
-from standins.invariants import find_false_not_run
+from standins.callers import (
+    book,
+    count_runs,
+    list_started_request_ids,
+    request_idempotency_key,
+)
+from standins.invariants import find_wrong_not_run
 from standins.local import DOMAINS
 
 
@@ -42,7 +47,7 @@
         if cell["cell"].startswith("booking")
     ]
     owner = fleet.nodes[owners[0]]
-    owner.freeze()
+    owner.suspend()
     return owner, *[node for node in fleet.nodes.values() if node is not owner]
 
 
@@ -50,7 +55,7 @@
     """Check what must always hold, and return the number of runs of the key."""
     runs = count_runs(fleet, key)
     assert runs <= 1
-    assert find_false_not_run(fleet, answers) == []
+    assert find_wrong_not_run(fleet, answers) == []
     if any(answer.outcome == "answered" for answer in answers):
         assert runs == 1
     return runs
@@ -61,7 +66,7 @@
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(8) as pool:
         for _ in range(5):
-            key = get_key(nodes[0])
+            key = request_idempotency_key(nodes[0])
             answers = list(pool.map(lambda n, k=key: book(n, k), nodes * 2))
             assert check(fleet, key, answers) == 1
             assert {answer.outcome for answer in answers} == {"answered"}
@@ -71,7 +76,7 @@
     """The log appends a claim, but its response is lost."""
     nodes = list(fleet.nodes.values())
     fleet.set_faults("platform", lose_answers=3)
-    key = get_key(nodes[1])
+    key = request_idempotency_key(nodes[1])
     answers = [book(nodes[1], key), book(nodes[2], key)]
     assert check(fleet, key, answers) == 1
     assert [answer.outcome for answer in answers] == ["answered", "answered"]
@@ -80,7 +85,7 @@
 def test_a_slow_log_delays_a_deposit_and_does_not_double_it(fleet):
     """Each call to the log takes 1 s, and the caller sends the deposit to two nodes."""
     nodes = list(fleet.nodes.values())
-    key = get_key(nodes[0])
+    key = request_idempotency_key(nodes[0])
     fleet.set_faults("platform", slow_s=1.0)
     try:
         with ThreadPoolExecutor(2) as pool:
@@ -92,7 +97,7 @@
 
 def test_another_body_under_a_used_key_is_refused(fleet):
     nodes = list(fleet.nodes.values())
-    key = get_key(nodes[0])
+    key = request_idempotency_key(nodes[0])
     first = book(nodes[0], key, amount=1)
     others = [book(node, key, amount=2) for node in nodes]
     assert first.status == 200
@@ -103,7 +108,7 @@
 def test_a_customer_can_not_use_the_key_of_another(fleet):
     """A customer that learns another's key must not get the recorded answer."""
     nodes = list(fleet.nodes.values())
-    key = get_key(nodes[0], customer="kestrel")
+    key = request_idempotency_key(nodes[0], customer="kestrel")
     assert book(nodes[0], key, customer="kestrel").status == 200
     assert book(nodes[1], key, customer="parish").status == 403
 
@@ -113,10 +118,10 @@
     node = next(iter(fleet.nodes.values()))
     for name in fleet.services:
         fleet.set_faults(name, refuse=True)
-    refused = book(node, get_key(node), deadline_s=5.0)
+    refused = book(node, request_idempotency_key(node), deadline_s=5.0)
     for name in fleet.services:
         fleet.set_faults(name, refuse=False, fail=True)
-    key = get_key(node)
+    key = request_idempotency_key(node)
     broken = book(node, key)
     for name in fleet.services:
         fleet.set_faults(name, fail=False)
@@ -137,7 +142,7 @@
         fleet.set_faults(name, work_s=1.5 if moment == "during" else 0.02)
     if moment == "before":
         owner, first, second = freeze_owner(fleet)
-    key = get_key(first)
+    key = request_idempotency_key(first)
     with ThreadPoolExecutor(1) as pool:
         asked = pool.submit(book, first, key, deadline_s=15.0)
         if moment == "after":
@@ -148,7 +153,7 @@
         first.kill()
         lost = asked.result()
     if moment == "before":
-        owner.thaw()
+        owner.resume()
     again = book(second, key, deadline_s=8.0)
     runs = check(fleet, key, [again] if moment != "after" else [lost, again])
     expected = {
@@ -167,14 +172,14 @@
     """
     fleet = own_fleet
     owner, first, second = freeze_owner(fleet)
-    key = get_key(first)
+    key = request_idempotency_key(first)
     with ThreadPoolExecutor(1) as pool:
         asked = pool.submit(book, first, key, deadline_s=12.0)
         time.sleep(0.7)
-        first.freeze()
-        owner.thaw()
+        first.suspend()
+        owner.resume()
         again = book(second, key, deadline_s=6.0)
-        first.thaw()
+        first.resume()
         frozen = asked.result()
     time.sleep(1.0)
     later = book(second, key, deadline_s=8.0)
@@ -190,11 +195,11 @@
     """
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
-    early_key = get_key(nodes[0])
+    early_key = request_idempotency_key(nodes[0])
     fleet.set_faults("platform", down=True)
     time.sleep(3.0)
     early = book(nodes[0], early_key, deadline_s=1.5)
-    keys = [get_key(node) for node in nodes]
+    keys = [request_idempotency_key(node) for node in nodes]
     answers = [book(node, key) for key in keys for node in nodes]
     fleet.set_faults("platform", down=False)
     assert (early.outcome, early.reason) == ("unknown", "log_unavailable")
@@ -214,7 +219,7 @@
     first, second, _ = fleet.nodes.values()
     fleet.set_faults("platform", down=True)
     time.sleep(2.5)
-    key = get_key(first)
+    key = request_idempotency_key(first)
     assert book(first, key).outcome == "answered"
     first.kill()
     during = book(second, key, deadline_s=3.0)
@@ -228,7 +233,7 @@
     """A deposit is retried days later, after the log has dropped its records."""
     fleet = own_fleet
     first, second, _ = fleet.nodes.values()
-    key = get_key(first)
+    key = request_idempotency_key(first)
     assert book(first, key).outcome == "answered"
     time.sleep(0.5)
     end = fleet.record("platform")["next_offsets"]["bookings"]
@@ -244,13 +249,13 @@
     """A call for which no replica is open until its deadline ends as "not run"."""
     fleet = own_fleet
     node = next(iter(fleet.nodes.values()))
-    key = get_key(node)
+    key = request_idempotency_key(node)
     set_domains(fleet, "out")
     answer = book(node, key, deadline_s=1.0)
     set_domains(fleet, "in")
     time.sleep(1.5)
     assert answer.outcome == "not_run"
-    assert answer.request_id not in list_started(fleet)
+    assert answer.request_id not in list_started_request_ids(fleet)
     again = book(node, key)
     assert check(fleet, key, [answer, again]) == 1
 
@@ -262,7 +267,7 @@
     was not ready, and answered "not run", although the key had run.
     """
     first, second, _ = fleet.nodes.values()
-    key = get_key(first)
+    key = request_idempotency_key(first)
     assert book(first, key).outcome == "answered"
     refused = book(second, key, deadline_s=0.0)
     assert refused.outcome == "unknown"
@@ -278,15 +283,15 @@
     """
     fleet = own_fleet
     first = next(iter(fleet.nodes.values()))
-    key = get_key(first)
+    key = request_idempotency_key(first)
     assert book(first, key).outcome == "answered"
     started = fleet.start_node("late", "cork-a")
-    fleet.platform.freeze()
+    fleet.platform.suspend()
     try:
         fleet.wait_url(f"{started.url}/healthz")
         refused = book(started, key)
     finally:
-        fleet.platform.thaw()
+        fleet.platform.resume()
     assert (refused.outcome, refused.reason) == ("unknown", "not_ready")
     fleet.wait_for(lambda: fleet.status("late")["state"] == "serving", what="a start")
     assert book(started, key).outcome == "answered"
--- a/lycheetide/node/tests/test_cold.py
+++ b/lycheetide/node/tests/test_cold.py
@@ -6,9 +6,9 @@
 import pytest
 
 from lycheetide.node.tests.test_domains import send_prompts_for
-from standins.callers import ask_prompt
-from standins.invariants import find_broken, wait_memory_free
-from standins.local import LocalFleet, make_forge_works
+from standins.callers import send_prompt
+from standins.invariants import find_violations, wait_until_memory_free
+from standins.local import LocalFleet, start_example_fleet
 
 COLD_S = 2.0
 
@@ -17,7 +17,7 @@
 def cold_fleet():
     """Start nine nodes and four engines that take two seconds to warm up."""
     with LocalFleet() as local:
-        make_forge_works(
+        start_example_fleet(
             local, engines=4, nodes=9, bookings=1, cold_s=COLD_S, cold_limit=2,
             decode_s=0.03,
         )  # fmt: skip
@@ -54,8 +54,8 @@
     print(f"{len(answers)} requests, most in flight on a cold engine {max(worst)}")
     assert max(worst) > 0
     assert find_crashed(fleet) == {}
-    assert find_broken(fleet, answers, deadline_s=10.0) == []
-    wait_memory_free(fleet)
+    assert find_violations(fleet, answers, deadline_s=10.0) == []
+    wait_until_memory_free(fleet)
 
 
 def test_idle_engines_restart_just_before_a_burst(cold_fleet):
@@ -74,13 +74,13 @@
             fleet.set_faults(name, turn_cold=True)
         jobs = [
             pool.submit(
-                ask_prompt, nodes[i % 9], 1_000, seed=i, max_tokens=3, deadline_s=15.0
+                send_prompt, nodes[i % 9], 1_000, seed=i, max_tokens=3, deadline_s=15.0
             )
             for i in range(80)
         ]
         answers = [job.result() for job in jobs]
     assert find_crashed(fleet) == {}
-    assert find_broken(fleet, answers, deadline_s=15.0) == []
+    assert find_violations(fleet, answers, deadline_s=15.0) == []
     assert {answer.outcome for answer in answers} == {"answered"}
 
 
@@ -99,17 +99,17 @@
     others = [node for node in fleet.nodes.values() if node is not owners[0]]
     with ThreadPoolExecutor(250) as pool:
         jobs = send_prompts_for(fleet, pool, 1.0)
-        owners[0].freeze()
+        owners[0].suspend()
         for name in fleet.engines:
             fleet.set_faults(name, turn_cold=True)
         jobs += send_prompts_for(fleet, pool, 5.0, nodes=others)
         for name in fleet.engines:
             fleet.set_faults(name, turn_cold=True)
-        owners[0].thaw()
+        owners[0].resume()
         jobs += send_prompts_for(fleet, pool, 2.0)
         answers = [job.result() for job in jobs]
     assert find_crashed(fleet) == {}
-    assert find_broken(fleet, answers, deadline_s=10.0) == []
+    assert find_violations(fleet, answers, deadline_s=10.0) == []
     answered = [a for a in answers if a.outcome == "answered"]
     print(f"{len(answered)} of {len(answers)} answered")
-    wait_memory_free(fleet)
+    wait_until_memory_free(fleet)
--- a/lycheetide/node/tests/test_cold_stalls.py
+++ b/lycheetide/node/tests/test_cold_stalls.py
@@ -17,10 +17,10 @@
     while not stopped.is_set():
         chosen = draw.sample(nodes, 4)
         for node in chosen:
-            node.freeze()
+            node.suspend()
         time.sleep(draw.uniform(0.1, 0.6))
         for node in chosen:
-            node.thaw()
+            node.resume()
         time.sleep(draw.uniform(0.05, 0.2))
 
 
--- a/lycheetide/node/tests/test_domains.py
+++ b/lycheetide/node/tests/test_domains.py
@@ -6,8 +6,8 @@
 
 from lycheetide.fleet import FailureDomain, make_change_record, make_snapshot_record
 from lycheetide.fleet._fold import ConfigState
-from standins.callers import ask_prompt
-from standins.invariants import find_broken
+from standins.callers import send_prompt
+from standins.invariants import find_violations
 
 MAX_PROPAGATION_S = 3.0
 DOMAIN = "cork-b"
@@ -42,7 +42,7 @@
         for node in nodes:
             jobs.append(
                 pool.submit(
-                    ask_prompt, node, 1_000, seed=len(jobs), max_tokens=3,
+                    send_prompt, node, 1_000, seed=len(jobs), max_tokens=3,
                     deadline_s=10.0, **fields,
                 )
             )  # fmt: skip
@@ -86,7 +86,7 @@
     assert list_late_starts(fleet, [leaving], left_s + MAX_PROPAGATION_S) == []
     assert list_late_starts(fleet, list_domain_engines(fleet), out_s + 0.5) == []
     assert {answer.outcome for answer in answers} == {"answered"}
-    assert find_broken(fleet, answers, deadline_s=10.0) == []
+    assert find_violations(fleet, answers, deadline_s=10.0) == []
 
 
 def test_a_node_frozen_while_a_domain_is_taken_out_sends_nothing_there(own_fleet):
@@ -100,19 +100,19 @@
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(64) as pool:
         jobs = send_prompts_for(fleet, pool, 0.6)
-        nodes[0].freeze()
-        late = [pool.submit(ask_prompt, nodes[0], 1_000, seed=9_000 + i,
+        nodes[0].suspend()
+        late = [pool.submit(send_prompt, nodes[0], 1_000, seed=9_000 + i,
                             deadline_s=20.0) for i in range(12)]  # fmt: skip
         fleet.publish([make_domain_entry("out")])
         out_s = time.monotonic()
         time.sleep(MAX_PROPAGATION_S + 1.0)
-        nodes[0].thaw()
+        nodes[0].resume()
         answers = [job.result() for job in jobs + late]
     assert (
         list_late_starts(fleet, list_domain_engines(fleet), out_s + MAX_PROPAGATION_S)
         == []
     )
-    assert find_broken(fleet, answers, deadline_s=20.0) == []
+    assert find_violations(fleet, answers, deadline_s=20.0) == []
 
 
 def test_a_domain_taken_out_just_before_an_outage_stays_out(own_fleet):
@@ -122,14 +122,14 @@
     """
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
-    nodes[1].freeze()
-    nodes[2].freeze()
+    nodes[1].suspend()
+    nodes[2].suspend()
     fleet.publish([make_domain_entry("out")])
     first = next(iter(fleet.nodes))
     fleet.wait_for(lambda: fleet.status(first)["config_version"] == fleet.version)
     fleet.set_faults("platform", down=True)
-    nodes[1].thaw()
-    nodes[2].thaw()
+    nodes[1].resume()
+    nodes[2].resume()
     out_s = time.monotonic()
     took_s = fleet.wait_for(lambda: min(list_versions(fleet)) == fleet.version)
     with ThreadPoolExecutor(64) as pool:
@@ -141,7 +141,7 @@
     )
     answered = [a for a in answers if a.outcome == "answered"]
     assert len(answered) >= 0.9 * len(answers)
-    assert find_broken(fleet, answers, deadline_s=10.0) == []
+    assert find_violations(fleet, answers, deadline_s=10.0) == []
 
 
 def test_hosts_replaced_during_an_outage_of_the_log_serve(own_fleet):
@@ -160,7 +160,7 @@
         timeout_s=25.0,
         what="the new host's readiness",
     )
-    answer = ask_prompt(node, 1_000, deadline_s=20.0)
+    answer = send_prompt(node, 1_000, deadline_s=20.0)
     assert answer.whole
     print(f"ready after {hosts:.2f} s")
 
@@ -183,7 +183,7 @@
     time.sleep(3.0)
     living = [node for name, node in fleet.nodes.items() if name != owners[0]]
     for node in living:
-        answer = ask_prompt(node, 1_000, deadline_s=20.0)
+        answer = send_prompt(node, 1_000, deadline_s=20.0)
         assert answer.whole
     node = fleet.start_node("entry-4", "cork-c")
     fleet.wait_for(
@@ -191,7 +191,7 @@
         timeout_s=25.0,
         what="the new host's readiness",
     )
-    assert ask_prompt(node, 1_000, deadline_s=20.0).whole
+    assert send_prompt(node, 1_000, deadline_s=20.0).whole
 
 
 def test_a_node_cut_off_from_log_and_peers_is_not_ready(own_fleet):
@@ -202,18 +202,18 @@
     fleet = own_fleet
     first, *others = fleet.nodes.values()
     for node in others:
-        node.freeze()
+        node.suspend()
     fleet.set_faults("platform", down=True)
     try:
         took_s = fleet.wait_for(
             lambda: fleet.try_get(f"{first.url}/readyz") is None, timeout_s=10.0
         )
         time.sleep(0.5)
-        answer = ask_prompt(first, 1_000, deadline_s=3.0)
+        answer = send_prompt(first, 1_000, deadline_s=3.0)
     finally:
         fleet.set_faults("platform", down=False)
         for node in others:
-            node.thaw()
+            node.resume()
     fleet.wait_for(lambda: fleet.try_get(f"{first.url}/readyz") is not None)
     assert took_s < MAX_PROPAGATION_S
     assert answer.outcome == "not_run"
@@ -249,7 +249,7 @@
     fleet = own_fleet
     nodes = list(fleet.nodes.values())
     stale = make_snapshot_record(ConfigState())
-    nodes[2].freeze()
+    nodes[2].suspend()
     fleet.publish([make_domain_entry("out")])
     fleet.publish([make_domain_entry("out", "cork-c")])
     wanted = fleet.version
@@ -259,7 +259,7 @@
     fleet.http.post(
         f"{fleet.platform.url}/retain", json={"stream": "config", "from": wanted}
     )
-    nodes[2].thaw()
+    nodes[2].resume()
     fleet.start_node("entry-4", "cork-a")
     fleet.wait_for(lambda: list_versions(fleet) == [wanted] * 4, timeout_s=15.0)
     time.sleep(1.0)
--- a/lycheetide/node/tests/test_leaving_callers.py
+++ b/lycheetide/node/tests/test_leaving_callers.py
@@ -6,8 +6,8 @@
 import httpx
 import pytest
 
-from standins.callers import CLIENT, make_headers, make_prompt, sum_held
-from standins.invariants import wait_memory_free
+from standins.callers import CLIENT, make_headers, make_prompt, sum_kv_used_tokens
+from standins.invariants import wait_until_memory_free
 
 MAX_RELEASE_S = 1.5
 """Work ends within 0.5 s; the rest is a margin for the processes of the test."""
@@ -52,10 +52,10 @@
             for i in range(6)
         ]
         time.sleep(0.5)
-        held = sum_held(fleet)
+        held = sum_kv_used_tokens(fleet)
         for job in jobs:
             job.result()
     assert held > 0
-    assert wait_memory_free(fleet, timeout_s=MAX_RELEASE_S) < MAX_RELEASE_S
+    assert wait_until_memory_free(fleet, timeout_s=MAX_RELEASE_S) < MAX_RELEASE_S
     active = [fleet.status(name)["active_requests"] for name in fleet.nodes]
     assert active == [0] * len(active)
--- a/lycheetide/node/tests/test_silence.py
+++ b/lycheetide/node/tests/test_silence.py
@@ -7,9 +7,15 @@
 import pytest
 
 from lycheetide.fleet import Customer, FailureDomain, RequestClass
-from standins.callers import ask_prompt, book, count_runs, get_key, post
-from standins.invariants import find_broken
-from standins.local import DOMAINS, TOKENS, LocalFleet, make_forge_works
+from standins.callers import (
+    book,
+    count_runs,
+    post,
+    request_idempotency_key,
+    send_prompt,
+)
+from standins.invariants import find_violations
+from standins.local import DOMAINS, TOKENS, LocalFleet, start_example_fleet
 
 SILENCE_S = 0.5
 STALL_S = 1.6
@@ -26,7 +32,7 @@
     def make(**sizes):
         fleet = LocalFleet(settings={"upstreams": {"silence_s": SILENCE_S}})
         fleets.append(fleet)
-        make_forge_works(fleet, nodes=1, **sizes)
+        start_example_fleet(fleet, nodes=1, **sizes)
         fleet.wait_ready()
         return fleet
 
@@ -56,7 +62,7 @@
 def ask_node(fleet, *, max_tokens=8, **fields):
     """Ask the fleet's only node for an answer."""
     (node,) = fleet.nodes.values()
-    return ask_prompt(
+    return send_prompt(
         node, 1_000, max_tokens=max_tokens, deadline_s=DEADLINE_S, **fields
     )
 
@@ -92,7 +98,7 @@
         fleet.set_faults(name, stall_at=3, stall_s=STALL_S)
     answer = ask_node(fleet)
     assert (answer.outcome, answer.whole) == ("answered", True)
-    assert find_broken(fleet, [answer], deadline_s=DEADLINE_S) == []
+    assert find_violations(fleet, [answer], deadline_s=DEADLINE_S) == []
 
 
 def test_a_stream_leaves_an_engine_that_is_silent_for_good(make_fleet):
@@ -106,7 +112,7 @@
     answers = [ask_node(fleet, seed=seed) for seed in range(4)]
     starts = fleet.record("assistant-1")["starts"]
     assert {answer.outcome for answer in answers} == {"answered"}
-    assert find_broken(fleet, answers, deadline_s=DEADLINE_S) == []
+    assert find_violations(fleet, answers, deadline_s=DEADLINE_S) == []
     assert starts
 
 
@@ -140,7 +146,7 @@
     for name in fleet.services:
         fleet.set_faults(name, work_s=STALL_S)
     (node,) = fleet.nodes.values()
-    key = get_key(node)
+    key = request_idempotency_key(node)
     answers = [book(node, key, deadline_s=DEADLINE_S) for _ in range(2)]
     assert [answer.status for answer in answers] == [200, 200]
     assert count_runs(fleet, key) == 1
@@ -156,7 +162,7 @@
     for name in fleet.services:
         fleet.set_faults(name, work_s=3600.0)
     (node,) = fleet.nodes.values()
-    key = get_key(node)
+    key = request_idempotency_key(node)
     first = book(node, key, deadline_s=1.5)
     time.sleep(1.0)
     again = book(node, key, deadline_s=DEADLINE_S)
@@ -184,7 +190,7 @@
         answer = asked.result()
     assert (answer.reason, answer.whole) == ("", True)
     assert fleet.record("assistant-2")["starts"]
-    assert find_broken(fleet, [answer], deadline_s=DEADLINE_S) == []
+    assert find_violations(fleet, [answer], deadline_s=DEADLINE_S) == []
 
 
 def test_a_stream_that_has_begun_waits_longer_than_its_class_lets_new_ones(make_fleet):
@@ -205,7 +211,7 @@
         fleet.set_faults("assistant-1", load_silent=False)
         answer = asked.result()
     assert (answer.reason, answer.whole) == ("", True)
-    assert find_broken(fleet, [answer], deadline_s=DEADLINE_S) == []
+    assert find_violations(fleet, [answer], deadline_s=DEADLINE_S) == []
 
 
 def test_a_stream_that_finds_no_engine_again_ends_at_its_deadline(make_fleet):
@@ -218,11 +224,11 @@
     (node,) = fleet.nodes.values()
     with ThreadPoolExecutor(1) as pool:
         asked = pool.submit(
-            ask_prompt, node, 1_000, max_tokens=60, deadline_s=deadline_s
+            send_prompt, node, 1_000, max_tokens=60, deadline_s=deadline_s
         )
         wait_started(fleet)
         set_domain_state(fleet, DOMAINS[0], "out")
         fleet.set_faults("assistant-1", cut_at=50)
         answer = asked.result()
     assert (answer.outcome, answer.reason) == ("failed", "deadline")
-    assert find_broken(fleet, [answer], deadline_s=deadline_s) == []
+    assert find_violations(fleet, [answer], deadline_s=deadline_s) == []
--- a/lycheetide/node/tests/test_stop.py
+++ b/lycheetide/node/tests/test_stop.py
@@ -7,8 +7,8 @@
 
 from lycheetide.node._run import HAND_OVER_TIMEOUT_S
 from lycheetide.node.tests.test_domains import send_prompts_for
-from standins.callers import ask_prompt, book, count_runs, get_key
-from standins.invariants import find_broken, wait_memory_free
+from standins.callers import book, count_runs, request_idempotency_key, send_prompt
+from standins.invariants import find_violations, wait_until_memory_free
 
 STOP_S = 60.0
 
@@ -27,7 +27,7 @@
         for node in ready:
             jobs.append(
                 pool.submit(
-                    ask_prompt, node, 1_000, seed=len(jobs), max_tokens=20,
+                    send_prompt, node, 1_000, seed=len(jobs), max_tokens=20,
                     deadline_s=15.0,
                 )
             )  # fmt: skip
@@ -43,22 +43,22 @@
     first, second, third = fleet.nodes.values()
     with ThreadPoolExecutor(40) as pool:
         long = [
-            pool.submit(ask_prompt, node, 1_000, seed=i, max_tokens=500)
+            pool.submit(send_prompt, node, 1_000, seed=i, max_tokens=500)
             for i, node in enumerate([first, second, first, second, third])
         ]
         time.sleep(0.7)
         first.signal(signal.SIGTERM)
         second.signal(signal.SIGTERM)
         arriving = [
-            pool.submit(ask_prompt, node, 1_000, seed=50 + i, deadline_s=20.0)
+            pool.submit(send_prompt, node, 1_000, seed=50 + i, deadline_s=20.0)
             for i, node in enumerate([first, second, third] * 3)
         ]
         first.popen.wait(STOP_S)
         second.popen.wait(STOP_S)
         answers = [job.result() for job in long + arriving]
     assert [answer.whole for answer in answers] == [True] * len(answers)
-    assert find_broken(fleet, answers, deadline_s=60.0) == []
-    wait_memory_free(fleet)
+    assert find_violations(fleet, answers, deadline_s=60.0) == []
+    wait_until_memory_free(fleet)
 
 
 def test_a_node_that_stops_in_an_outage_records_its_bookings_first(own_fleet):
@@ -70,7 +70,7 @@
     first, second, _ = fleet.nodes.values()
     fleet.set_faults("platform", down=True)
     time.sleep(2.5)
-    key = get_key(first)
+    key = request_idempotency_key(first)
     booked = book(first, key)
     first.signal(signal.SIGTERM)
     time.sleep(HAND_OVER_TIMEOUT_S + 3.0)
@@ -97,7 +97,7 @@
             jobs += ask_ready_nodes(fleet, pool, 1.0)
             leaving.popen.wait(STOP_S)
             del fleet.nodes[name]
-            fleet.list_hosts()
+            fleet.publish_hosts()
         # A load balancer sends nothing to a host that has never been ready.
         fleet.wait_ready(may_have_ended=True)
         jobs += send_prompts_for(fleet, pool, 1.0)
@@ -105,5 +105,5 @@
     unanswered = [a for a in answers if not a.whole]
     print(f"{len(answers)} requests, {len(unanswered)} without their answer")
     assert unanswered == []
-    assert find_broken(fleet, answers, deadline_s=15.0) == []
-    wait_memory_free(fleet)
+    assert find_violations(fleet, answers, deadline_s=15.0) == []
+    wait_until_memory_free(fleet)
--- a/lycheetide/node/tests/test_streams.py
+++ b/lycheetide/node/tests/test_streams.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from standins.callers import ask_prompt, post, sum_held
-from standins.invariants import find_broken, wait_memory_free
+from standins.callers import post, send_prompt, sum_kv_used_tokens
+from standins.invariants import find_violations, wait_until_memory_free
 
 
 def set_faults_on_all(fleet, **faults):
@@ -24,7 +24,7 @@
     nodes = list(fleet.nodes.values())
     with ThreadPoolExecutor(count) as pool:
         jobs = [
-            pool.submit(ask_prompt, nodes[i % len(nodes)], 1_000, seed=i, **fields)
+            pool.submit(send_prompt, nodes[i % len(nodes)], 1_000, seed=i, **fields)
             for i in range(count)
         ]
         return [job.result() for job in jobs]
@@ -48,7 +48,7 @@
     set_faults_on_all(fleet, **{fault: 3})
     answers = ask_concurrently(fleet, 12, max_tokens=8, deadline_s=20.0)
     set_faults_on_all(fleet, cross_at=None, duplicate_at=None, cut_at=None)
-    assert find_broken(fleet, answers, deadline_s=20.0) == []
+    assert find_violations(fleet, answers, deadline_s=20.0) == []
     assert [len(answer.texts) for answer in answers] == [8] * 12
     assert sum_counter(fleet, counter) > before
 
@@ -73,10 +73,10 @@
     with ThreadPoolExecutor(6) as pool:
         for i in range(6):
             pool.submit(
-                ask_prompt, nodes[i % 3], 2_000, max_tokens=2_000, timeout_s=0.5
+                send_prompt, nodes[i % 3], 2_000, max_tokens=2_000, timeout_s=0.5
             )
-    assert sum_held(fleet) >= 0
-    wait_memory_free(fleet)
+    assert sum_kv_used_tokens(fleet) >= 0
+    wait_until_memory_free(fleet)
 
 
 def test_memory_of_lost_releases_is_reclaimed(fleet):
@@ -86,9 +86,9 @@
     with ThreadPoolExecutor(6) as pool:
         for i in range(6):
             pool.submit(
-                ask_prompt, nodes[i % 3], 2_000, max_tokens=2_000, deadline_s=0.6
+                send_prompt, nodes[i % 3], 2_000, max_tokens=2_000, deadline_s=0.6
             )
-    wait_memory_free(fleet)
+    wait_until_memory_free(fleet)
     set_faults_on_all(fleet, lose_releases=0)
 
 
@@ -99,25 +99,25 @@
     answers = ask_concurrently(fleet, 6, deadline_s=2.0)
     set_faults_on_all(fleet, silent=False)
     assert {answer.outcome for answer in answers} == {"failed"}
-    assert find_broken(fleet, answers, deadline_s=2.0) == []
-    wait_memory_free(fleet)
+    assert find_violations(fleet, answers, deadline_s=2.0) == []
+    wait_until_memory_free(fleet)
 
 
 def test_a_frozen_engine_is_left_alone_and_its_requests_end(own_fleet):
     """An engine's process is suspended with its connections open, and resumed later."""
     fleet = own_fleet
     engine = next(iter(fleet.engines.values()))
-    engine.freeze()
+    engine.suspend()
     try:
         answers = ask_concurrently(fleet, 12, deadline_s=25.0)
         time.sleep(2.5)
         later = ask_concurrently(fleet, 12, deadline_s=10.0)
     finally:
-        engine.thaw()
+        engine.resume()
     assert {answer.outcome for answer in later} == {"answered"}
     assert {answer.outcome for answer in answers} == {"answered"}
-    assert find_broken(fleet, answers + later, deadline_s=25.0) == []
-    wait_memory_free(fleet)
+    assert find_violations(fleet, answers + later, deadline_s=25.0) == []
+    wait_until_memory_free(fleet)
 
 
 def test_memory_of_a_killed_nodes_streams_is_freed(own_fleet):
@@ -126,13 +126,13 @@
     first = next(iter(fleet.nodes.values()))
     with ThreadPoolExecutor(8) as pool:
         jobs = [
-            pool.submit(ask_prompt, first, 5_000, seed=i, max_tokens=3_000)
+            pool.submit(send_prompt, first, 5_000, seed=i, max_tokens=3_000)
             for i in range(8)
         ]
         time.sleep(1.0)
-        assert sum_held(fleet) > 0
+        assert sum_kv_used_tokens(fleet) > 0
         first.kill()
-        freed_s = wait_memory_free(fleet)
+        freed_s = wait_until_memory_free(fleet)
         answers = [job.result() for job in jobs]
     assert {answer.outcome for answer in answers} == {"unknown"}
     print(f"freed after {freed_s:.2f} s")
@@ -145,17 +145,19 @@
     with ThreadPoolExecutor(2) as pool:
         jobs = [
             pool.submit(
-                ask_prompt, nodes[i], 900_000, seed=i, request_class="archive",
+                send_prompt, nodes[i], 900_000, seed=i, request_class="archive",
                 deadline_s=30.0,
             )
             for i in range(2)
         ]  # fmt: skip
-        fleet.wait_for(lambda: sum_held(fleet) > 200_000, what="a reservation")
+        fleet.wait_for(
+            lambda: sum_kv_used_tokens(fleet) > 200_000, what="a reservation"
+        )
         next(iter(fleet.engines.values())).kill()
         answers = [job.result() for job in jobs]
-    assert find_broken(fleet, answers, deadline_s=30.0) == []
+    assert find_violations(fleet, answers, deadline_s=30.0) == []
     assert {answer.outcome for answer in answers} == {"answered"}
-    wait_memory_free(fleet)
+    wait_until_memory_free(fleet)
 
 
 def test_each_customers_retries_are_its_own(own_fleet):
@@ -168,12 +170,12 @@
     node = next(iter(fleet.nodes.values()))
     set_faults_on_all(fleet, cut_at=0)
     for index in range(3):
-        ask_prompt(node, 1_000, seed=index, customer="kestrel", deadline_s=10.0)
+        send_prompt(node, 1_000, seed=index, customer="kestrel", deadline_s=10.0)
     for _ in range(40):
         set_faults_on_all(fleet, cut_at=0)
-        ask_prompt(node, 1_000, customer="kestrel", deadline_s=10.0)
+        send_prompt(node, 1_000, customer="kestrel", deadline_s=10.0)
     set_faults_on_all(fleet, cut_at=None)
-    clean = ask_prompt(node, 1_000, customer="parish")
+    clean = send_prompt(node, 1_000, customer="parish")
     status = fleet.status(next(iter(fleet.nodes)))
     assert clean.whole
     assert status["retries_by_customer"].get("parish", 0) == 0
@@ -225,19 +227,19 @@
         for name in fleet.nodes
         if any(c["cell"].startswith("assistant") for c in fleet.status(name)["cells"])
     )
-    fleet.nodes[owner].freeze()
+    fleet.nodes[owner].suspend()
     others = [node for name, node in fleet.nodes.items() if name != owner]
     with ThreadPoolExecutor(40) as pool:
         jobs = [
-            pool.submit(ask_prompt, others[i % 2], 1_000, seed=i, deadline_s=1.5)
+            pool.submit(send_prompt, others[i % 2], 1_000, seed=i, deadline_s=1.5)
             for i in range(40)
         ]
         answers = [job.result() for job in jobs]
-    fleet.nodes[owner].thaw()
+    fleet.nodes[owner].resume()
     assert {(a.outcome, a.reason) for a in answers} == {("not_run", "deadline")}
-    assert find_broken(fleet, answers, deadline_s=1.5) == []
+    assert find_violations(fleet, answers, deadline_s=1.5) == []
     assert all(node.is_running() for node in fleet.nodes.values())
     later = ask_concurrently(fleet, 6, deadline_s=15.0)
     print([(answer.outcome, answer.body) for answer in later])
-    print("frozen was", owner, *fleet.read_turns(), sep="\n")
+    print("frozen was", owner, *fleet.read_state_changes(), sep="\n")
     assert {answer.outcome for answer in later} == {"answered"}
--- a/lycheetide/node/tests/test_thaw.py
+++ b/lycheetide/node/tests/test_thaw.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from standins.callers import ask_prompt
-from standins.invariants import find_broken
+from standins.callers import send_prompt
+from standins.invariants import find_violations
 
 FROZEN_S = 3.0
 """Longer than a node's state stays fresh, so that it is stale when it resumes."""
@@ -23,15 +23,15 @@
     """
     fleet = own_fleet
     node = list(fleet.nodes.values())[place]
-    node.freeze()
+    node.suspend()
     with ThreadPoolExecutor(6) as pool:
         jobs = [
-            pool.submit(ask_prompt, node, 1_000, seed=i, deadline_s=10.0)
+            pool.submit(send_prompt, node, 1_000, seed=i, deadline_s=10.0)
             for i in range(6)
         ]
         time.sleep(FROZEN_S)
-        node.thaw()
+        node.resume()
         answers = [job.result() for job in jobs]
-    print(*fleet.read_turns(), sep="\n")
+    print(*fleet.read_state_changes(), sep="\n")
     assert {(one.outcome, one.reason) for one in answers} == {("answered", "")}
-    assert find_broken(fleet, answers, deadline_s=10.0) == []
+    assert find_violations(fleet, answers, deadline_s=10.0) == []
--- a/lycheetide/relay/tests/test_answers.py
+++ b/lycheetide/relay/tests/test_answers.py
@@ -7,10 +7,10 @@
 import pytest
 
 from lycheetide.gossip import Job, JobPart
-from standins.http import LOOPBACK, Answer, Reset
+from standins.http import LOOPBACK, ConnectionReset, Response
 from standins.local import find_port
-from standins.relay_deployment import CUSTOMER, KEY, Relayed, make_config
-from standins.replica import SEAL, Replica, make_event
+from standins.relay_deployment import API_KEY, CUSTOMER, RelayDeployment, make_config
+from standins.replica import RESPONSE_SEAL, Replica, make_event
 
 pytestmark = pytest.mark.anyio
 
@@ -23,32 +23,32 @@
 
 
 async def test_a_request_reaches_a_replica_as_it_came():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         answer = await fleet.look(
             path="/look/a%20b/?q=1&r=%2f", **{"x-own": "kept", "connection": "x-hop",
                                               "x-hop": "1"}
         )  # fmt: skip
-        (request,) = fleet.seen()
+        (request,) = fleet.received()
     assert answer.status_code == 200
     assert answer.headers["lycheetide-response-seal"]
     assert request.target == "/look/a%20b/?q=1&r=%2f"
     assert request.headers["x-own"] == "kept"
     assert request.headers["lycheetide-tenant"] == CUSTOMER
     assert "lycheetide-credential" not in request.headers
-    assert KEY not in str(request.headers)
+    assert API_KEY not in str(request.headers)
     assert "x-hop" not in request.headers
     assert 0 < int(request.headers["lycheetide-deadline-ms"]) <= 3_000
 
 
 async def test_a_customer_cannot_be_claimed():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         await fleet.look(**{"lycheetide-tenant": "another"})
-        (request,) = fleet.seen()
+        (request,) = fleet.received()
     assert request.headers["lycheetide-tenant"] == CUSTOMER
 
 
 async def test_a_stream_passes_whole():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         answer = await fleet.stream()
     assert answer.content == WHOLE_STREAM
 
@@ -60,7 +60,7 @@
     Guards against counting and logging streams with whole answers as left by their
     callers.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (relay,) = fleet.relays
         send = fleet.stream if "stream" in path else fleet.look
         for _ in range(5):
@@ -77,15 +77,15 @@
 
     The caller must get each event once and in order, and no partial one.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for replica in fleet.replicas:
-            replica.script = []
-        fleet.replicas[0].script = [step]
-        fleet.replicas[1].script = [step]
+            replica.next_steps = []
+        fleet.replicas[0].next_steps = [step]
+        fleet.replicas[1].next_steps = [step]
         answer = await fleet.stream()
         resume_ids = [
             request.headers["last-event-id"]
-            for request in fleet.seen()
+            for request in fleet.received()
             if "last-event-id" in request.headers
         ]
     assert answer.content == WHOLE_STREAM
@@ -99,15 +99,15 @@
     Guards against aborting a stream after three seconds of good service because a
     second replica, which had seconds of reading queued as well, was tried and refused.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (relay,) = fleet.relays
         for replica in fleet.replicas:
-            replica.script = []
-        fleet.replicas[0].script = ["stall"]
-        fleet.replicas[1].script = ["stall"]
+            replica.next_steps = []
+        fleet.replicas[0].next_steps = ["stall"]
+        fleet.replicas[1].next_steps = ["stall"]
 
         async def add_backlog_when_started():
-            while not fleet.seen():
+            while not fleet.received():
                 await anyio.sleep(0.002)
             now_s = time.monotonic()
             for replica in fleet.replicas:
@@ -132,12 +132,12 @@
     two of them used up the two attempts of a request, and its caller got a failure
     although both replicas were healthy.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for _ in range(4):
             await fleet.stream()
         (relay,) = fleet.relays
         for replica in fleet.replicas:
-            replica.drops_kept = True
+            replica.resets_reused_connections = True
         answers = [await fleet.stream() for _ in range(4)]
         counts = relay.counters.counts
     assert [answer.content for answer in answers] == [WHOLE_STREAM] * 4
@@ -152,7 +152,7 @@
     Guards against counting unreachable replicas as attempts: two of them used up all
     attempts of a request, which was refused 6 ms after it arrived.
     """
-    async with Relayed(replicas=4) as fleet:
+    async with RelayDeployment(replicas=4) as fleet:
         (relay,) = fleet.relays
         for replica in fleet.replicas[:3]:
             entry = replica.entry(address=f"{LOOPBACK}:{find_port()}", seq=2)
@@ -176,10 +176,10 @@
     Guards against spending the only retry of the budget on the unreachable replica:
     the caller got a failure although a third replica had room.
     """
-    async with Relayed(replicas=3) as fleet:
+    async with RelayDeployment(replicas=3) as fleet:
         (relay,) = fleet.relays
         failing, ended, sound = fleet.replicas
-        failing.always = "reset"
+        failing.default_step = "reset"
         closed = f"{LOOPBACK}:{find_port()}"
         changes = {"address": closed, "seq": 2}
         fleet.store.put("keyed.servers", ended.name, ended.entry(**changes))
@@ -203,9 +203,9 @@
     these refusals as attempts: two of them left a request without an attempt although a
     fourth replica had room.
     """
-    async with Relayed(replicas=4) as fleet:
+    async with RelayDeployment(replicas=4) as fleet:
         for replica in fleet.replicas[:3]:
-            replica.always = "other"
+            replica.default_step = "other"
         answers = [await fleet.stream() for _ in range(3)]
         suspected = fleet.relays[0].counters.counts["replicas.suspected"]
     assert [answer.content for answer in answers] == [WHOLE_STREAM] * 3
@@ -215,10 +215,10 @@
 
 async def test_a_booking_never_goes_out_on_a_kept_connection():
     """A booking lost on a dropped connection can't be told from one that ran."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         await fleet.book()
         for replica in fleet.replicas:
-            replica.drops_kept = True
+            replica.resets_reused_connections = True
         answers = [await fleet.book() for _ in range(3)]
     assert [answer.status_code for answer in answers] == [200] * 3
 
@@ -229,9 +229,9 @@
     Guards against closing the connection in an orderly way, by which the caller would
     take the part for the whole.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for replica in fleet.replicas:
-            replica.script = ["break"]
+            replica.next_steps = ["break"]
         with pytest.raises(httpx.RemoteProtocolError):
             await fleet.stream(path="/stream-once/s")
         assert len(fleet.runs()) == 1
@@ -250,12 +250,12 @@
 
     The log didn't tell which limit kept the stream from another replica.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (relay,) = fleet.relays
         window = relay.retries("models")
         window.ratio, window.extra = ratio, 0.0
         for replica in fleet.replicas:
-            replica.events, replica.always = 20, "break"
+            replica.events, replica.default_step = 20, "break"
         with pytest.raises(httpx.RemoteProtocolError):
             await fleet.stream(path=path)
         assert relay.counters.counts[f"not_retried.{why}"] == 1
@@ -268,9 +268,9 @@
     Guards against reporting the booking as not run, after which the caller would book
     again.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for replica in fleet.replicas:
-            replica.always = step
+            replica.default_step = step
         answer = await fleet.book()
     assert answer.status_code == 502
     assert len(fleet.runs()) == 1
@@ -278,9 +278,9 @@
 
 async def test_a_booking_that_stays_unanswered_ends_in_time():
     """The replica accepts the booking and never answers."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for replica in fleet.replicas:
-            replica.always = "silent"
+            replica.default_step = "silent"
         with anyio.fail_after(1.0):
             answer = await fleet.book(deadline_ms=500)
     assert answer.status_code == 504
@@ -293,7 +293,7 @@
     The caller would leave after 2 s without an event. Instead it is told at once that
     the prompt hasn't run, which is true, and when a replica will be free.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (relay,) = fleet.relays
         now_s = time.monotonic()
         for replica in fleet.replicas:
@@ -315,9 +315,9 @@
 @pytest.mark.parametrize("step", ["refuse", "other"])
 async def test_a_refused_booking_may_come_back(step):
     """The only replica that may get the booking refuses it before running it."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for replica in fleet.replicas:
-            replica.always = step
+            replica.default_step = step
         answer = await fleet.book()
     assert answer.status_code == 503
     assert 0 < float(answer.headers["retry-after"]) < 2
@@ -330,8 +330,8 @@
 )  # fmt: skip
 async def test_a_lookup_is_repeated_at_another_replica(step):
     """One replica fails a lookup in one of many ways."""
-    async with Relayed() as fleet:
-        fleet.replicas[0].always = step
+    async with RelayDeployment() as fleet:
+        fleet.replicas[0].default_step = step
         answers = [await fleet.look() for _ in range(4)]
     assert [answer.status_code for answer in answers] == [200] * 4
     assert all(answer.text.startswith("r-1 answers") for answer in answers)
@@ -343,11 +343,11 @@
     Each long prompt that has one of them as a helper is refused. Guards against
     retrying with helpers, where it would be refused until its caller gives up.
     """
-    async with Relayed(replicas=6) as fleet:
+    async with RelayDeployment(replicas=6) as fleet:
         for replica in fleet.replicas:
-            replica.always = "refuse-helped"
+            replica.default_step = "refuse-helped"
         answer = await fleet.stream(tokens="50000,300")
-        has_helpers = ["lycheetide-helpers" in one.headers for one in fleet.seen()]
+        has_helpers = ["lycheetide-helpers" in one.headers for one in fleet.received()]
     assert answer.content == WHOLE_STREAM
     assert sorted(has_helpers) == [False, True]
 
@@ -358,13 +358,13 @@
     The refusal names the leaving replica. Guards against retrying the prompt at one
     replica alone, which took 3.6 s longer for an archive search of 425,000 tokens.
     """
-    async with Relayed(replicas=6) as fleet:
+    async with RelayDeployment(replicas=6) as fleet:
         leaving = fleet.replicas[-1]
         for replica in fleet.replicas[:-1]:
-            replica.leaving_helper = leaving.address
+            replica.refused_helper = leaving.address
         answers = [await fleet.stream(tokens="50000,300") for _ in range(4)]
-        refused = [one for one in fleet.seen() if names_helper(one, leaving)]
-        has_helpers = ["lycheetide-helpers" in one.headers for one in fleet.seen()]
+        refused = [one for one in fleet.received() if names_helper(one, leaving)]
+        has_helpers = ["lycheetide-helpers" in one.headers for one in fleet.received()]
     assert [answer.content for answer in answers] == [WHOLE_STREAM] * 4
     assert len(refused) == 1
     assert all(has_helpers)
@@ -376,8 +376,8 @@
 
 
 async def test_an_answer_without_a_length_is_whole_at_its_end():
-    async with Relayed(replicas=1) as fleet:
-        fleet.replicas[0].always = "unframed"
+    async with RelayDeployment(replicas=1) as fleet:
+        fleet.replicas[0].default_step = "unframed"
         answer = await fleet.look()
     assert answer.content == b"x" * 300
 
@@ -387,12 +387,12 @@
 
     Guards against giving it to the next caller on the same kept connection.
     """
-    async with Relayed(replicas=1) as fleet:
-        fleet.replicas[0].script = ["extra"]
+    async with RelayDeployment(replicas=1) as fleet:
+        fleet.replicas[0].next_steps = ["extra"]
         first = await fleet.look()
         second = await fleet.look()
         attempts = [
-            request.headers["lycheetide-attempt-id"] for request in fleet.seen()
+            request.headers["lycheetide-attempt-id"] for request in fleet.received()
         ]
     assert first.text.endswith(attempts[0])
     assert second.text.endswith(attempts[1])
@@ -401,8 +401,8 @@
 @pytest.mark.parametrize("path", ["/stream/s", "/look/a"])
 async def test_a_replica_stops_when_its_caller_leaves(path):
     """A caller closes its connection while a replica works on its request."""
-    async with Relayed(replicas=1) as fleet:
-        fleet.replicas[0].always = "silent" if path == "/look/a" else "stall"
+    async with RelayDeployment(replicas=1) as fleet:
+        fleet.replicas[0].default_step = "silent" if path == "/look/a" else "stall"
         with anyio.move_on_after(0.3):
             await (fleet.stream() if path == "/stream/s" else fleet.look())
         took_s = await fleet.wait_for(
@@ -413,7 +413,7 @@
 
 async def test_a_replica_that_is_not_there_costs_little():
     """A replica has died, and its address refuses connections."""
-    async with Relayed(replicas=2) as fleet:
+    async with RelayDeployment(replicas=2) as fleet:
         fleet.store.put(
             "keyed.servers", "dead", fleet.replicas[0].entry(address="127.0.0.1:9")
         )
@@ -425,7 +425,7 @@
 
 
 async def test_what_is_not_allowed_is_refused_at_once():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         unknown = await fleet.look(path="/nowhere/a")
         stranger = await fleet.look(key="stolen")
         headers = fleet.make_headers(tokens="")
@@ -435,12 +435,12 @@
     assert unknown.status_code == 404
     assert stranger.status_code == 401
     assert large.status_code == 413
-    assert fleet.seen() == []
+    assert fleet.received() == []
 
 
 async def test_without_replicas_a_request_is_refused_at_once():
     """All replicas have left, so waiting for the deadline wouldn't help."""
-    async with Relayed(replicas=1) as fleet:
+    async with RelayDeployment(replicas=1) as fleet:
         fleet.store.remove("keyed.servers", "r-0")
         await fleet.wait_for(
             lambda: not list(fleet.relays[0].candidates(
@@ -453,7 +453,7 @@
 
 
 async def test_bytes_that_are_no_request_end_their_connection_only():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         host, _, port = fleet.relays[0].settings.caller_address.rpartition(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(b"\x00\x01 nonsense\r\n\r\n")
@@ -468,9 +468,9 @@
     config = make_config()
     config["routes"][2]["timeoutMs"] = 400
     config["routes"][2]["attempts"] = 1
-    async with Relayed(config=config) as fleet:
+    async with RelayDeployment(config=config) as fleet:
         for replica in fleet.replicas:
-            replica.always = "silent"
+            replica.default_step = "silent"
         with anyio.fail_after(0.9):
             answer = await fleet.look()
     assert answer.status_code == 504
@@ -479,16 +479,19 @@
 class BreakingReplica(Replica):
     """A replica that breaks off its errors, with a script shared among replicas."""
 
-    def __init__(self, name, *, script):
+    def __init__(self, name, *, next_steps):
         super().__init__(name)
-        self.script = script
+        self.next_steps = next_steps
 
     async def _run(self, request, stream, step, attempt):
         if step != "fail-short":
             return await super()._run(request, stream, step, attempt)
-        head = {"Lycheetide-Attempt-Id": attempt, "Lycheetide-Response-Seal": SEAL}
-        await stream.send(Answer(500, b"x" * 400, head).encode()[:-100])
-        raise Reset
+        head = {
+            "Lycheetide-Attempt-Id": attempt,
+            "Lycheetide-Response-Seal": RESPONSE_SEAL,
+        }
+        await stream.send(Response(500, b"x" * 400, head).encode()[:-100])
+        raise ConnectionReset
 
 
 @pytest.mark.parametrize("first_step", ["break", "refuse"])
@@ -500,10 +503,10 @@
     """
     config = make_config()
     config["routes"][0]["attempts"] = 3
-    fleet = Relayed(replicas=0, config=config)
+    fleet = RelayDeployment(replicas=0, config=config)
     steps = [first_step, "fail-short"]
     fleet.replicas += [
-        BreakingReplica(f"r-{index}", script=steps) for index in range(3)
+        BreakingReplica(f"r-{index}", next_steps=steps) for index in range(3)
     ]
     async with fleet:
         answer = await fleet.stream()
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -9,7 +9,7 @@
 from lycheetide.gossip._messages import JobPart
 from lycheetide.relay._selection import list_candidates
 from lycheetide.relay._serve import make_call
-from standins.relay_deployment import HOST, KEY, Relayed
+from standins.relay_deployment import API_KEY, HOST, RelayDeployment
 
 pytestmark = pytest.mark.anyio
 
@@ -40,7 +40,7 @@
         headers=[
             (b"host", HOST.encode()),
             (b"lycheetide-attempt-id", b"0" * 16),
-            (b"lycheetide-credential", KEY.encode()),
+            (b"lycheetide-credential", API_KEY.encode()),
         ],
         now_s=time.monotonic(),
     )
@@ -53,7 +53,7 @@
     The node stalls while another one uses up the whole limit. It then chose replicas
     before its event loop had read the messages about that.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         await wait_for_peers(fleet)
         first, stalled = fleet.relays
         for number in range(USABLE_PER_S):
@@ -73,7 +73,7 @@
     Connecting takes so long that the message about the placement has left the window of
     one second. The requests of two seconds would then arrive in one.
     """
-    async with Relayed(relays=2, replicas=1) as fleet:
+    async with RelayDeployment(relays=2, replicas=1) as fleet:
         await wait_for_peers(fleet)
         late, other = fleet.relays
         sent_s = []
@@ -104,12 +104,12 @@
     A kept connection was closed, and the request is sent again. The replica may receive
     both, so nodes that know of only one would exceed the limit.
     """
-    async with Relayed(relays=2, replicas=1) as fleet:
+    async with RelayDeployment(relays=2, replicas=1) as fleet:
         await wait_for_peers(fleet)
         _, other = fleet.relays
         (replica,) = fleet.replicas
         assert (await fleet.look()).status_code == 200
-        replica.drops_kept = True
+        replica.resets_reused_connections = True
         before = other.job_table.starts_within(
             "r-0", START_WINDOW_S, now_s=time.monotonic()
         )
--- a/lycheetide/relay/tests/test_first_news.py
+++ b/lycheetide/relay/tests/test_first_news.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lycheetide import platform
-from standins.relay_deployment import Relayed
+from standins.relay_deployment import RelayDeployment
 
 pytestmark = pytest.mark.anyio
 
@@ -31,7 +31,7 @@
     others waited up to three seconds before they retried, and refused all clients,
     though that node was sending them heartbeats.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         fleet.store.down = down
         fleet.relays[0].peers.peers.clear()
         late = await fleet.start_relay(wait=False)
@@ -66,7 +66,7 @@
     All nodes restart, and a large configuration takes a while over small links. Clients
     were told to retry at a time later than the node was ready.
     """
-    async with Relayed(relays=0) as fleet:
+    async with RelayDeployment(relays=0) as fleet:
         adapter = make_slow_adapter(topic=topic, after_s=0.3)
         relay = await fleet.start_relay(wait=False, adapter=adapter)
         await fleet.wait_for_listener(relay.settings.caller_address)
@@ -77,7 +77,7 @@
 
 async def test_a_caller_is_refused_at_once_where_the_news_do_not_come():
     """The store refuses a node that has just started, and the node has no peer."""
-    async with Relayed(relays=0) as fleet:
+    async with RelayDeployment(relays=0) as fleet:
         fleet.store.down = "busy"
         relay = await fleet.start_relay(wait=False)
         await fleet.wait_for_listener(relay.settings.caller_address)
--- a/lycheetide/relay/tests/test_knowledge.py
+++ b/lycheetide/relay/tests/test_knowledge.py
@@ -9,7 +9,7 @@
 
 from lycheetide import platform
 from lycheetide.exchange import StoreUnavailable
-from standins.relay_deployment import CUSTOMER, Relayed, make_config
+from standins.relay_deployment import CUSTOMER, RelayDeployment, make_config
 
 pytestmark = pytest.mark.anyio
 
@@ -29,7 +29,7 @@
 
 
 async def test_a_new_configuration_is_in_force_everywhere():
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         config = make_config(version=7, tenants=[{"name": CUSTOMER, "apiKeys": []}])
         fleet.store.put("keyed.op", "config", config)
         took_s = await fleet.wait_for(
@@ -42,7 +42,7 @@
 
 async def test_an_older_configuration_never_comes_back():
     """The store's history is compacted, and an old record is written again."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         fleet.store.put("keyed.op", "config", make_config(version=7))
         await fleet.wait_for(lambda: has_version(fleet.relays[0], 7))
         fleet.store.compact("keyed.op")
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("broken", [b"", b"{", b'{"version": 9}', b"\xff\xfe"])
 async def test_a_configuration_that_cannot_be_read_changes_nothing(broken):
     """A record is truncated; a node that terminated would cut off its clients."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         fleet.store.put("keyed.op", "config", broken)
         await anyio.sleep(0.2)
         assert (await fleet.look()).status_code == 200
@@ -69,7 +69,7 @@
 
     Otherwise the revoked key could still be used at the node that is cut off.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         await fleet.wait_for(
             lambda: all(relay.peers.alive(now_s=0.0) for relay in fleet.relays)
         )
@@ -105,11 +105,11 @@
     answered. The store soon works again, as other reads show, but a revoked key stayed
     valid for 20 s.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (relay,) = fleet.relays
         store = fleet.store
         store.down = "busy"
-        store.wake()
+        store.notify_readers()
         await fleet.wait_for(lambda: relay.operator.failures)
         store.down = "silent"
         asked = len(store.calls)
@@ -129,13 +129,13 @@
     The store fails one read of operator records and ignores the next. No read of the
     registry showed that the store was back, and a revoked key stayed valid for 20 s.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (relay,) = fleet.relays
         store = fleet.store
         relay.settings = replace(relay.settings, registry_interval_s=60.0)
         await anyio.sleep(0.2)
         store.down = "busy"
-        store.wake()
+        store.notify_readers()
         await fleet.wait_for(lambda: relay.operator.failures)
         store.down = "silent"
         asked = len(store.calls)
@@ -150,7 +150,7 @@
 
 
 async def test_a_draining_replica_gets_no_new_work():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         leaving = fleet.replicas[0]
         fleet.store.put("keyed.servers", "r-0", leaving.entry(state="draining", seq=2))
         await fleet.wait_for(
@@ -158,11 +158,11 @@
         )
         for _ in range(4):
             assert (await fleet.look()).status_code == 200
-        assert leaving.seen == []
+        assert leaving.received == []
 
 
 async def test_a_failure_domain_taken_out_gets_no_new_work_until_it_is_back():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         relay = fleet.relays[0]
         for replica in fleet.replicas:
             zone = {"r-0": "cork-b", "r-1": "cork-c"}[replica.name]
@@ -174,20 +174,20 @@
         await anyio.sleep(0.2)
         for _ in range(4):
             assert (await fleet.look()).status_code == 200
-        assert fleet.replicas[0].seen == []
+        assert fleet.replicas[0].received == []
         fleet.store.remove("keyed.op", "evacuate/cork-b")
         await fleet.wait_for(lambda: not relay.closed)
 
 
 async def test_a_domain_taken_back_while_the_history_was_dropped_is_open_again():
     """The record that reopens the domain is compacted before a node reads it."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         relay = fleet.relays[0]
         fleet.store.put("keyed.op", "evacuate/cork-b", {})
         await fleet.wait_for(lambda: relay.closed)
         fleet.store.topic("keyed.op").put("evacuate/cork-b", b"")
         fleet.store.compact("keyed.op")
-        fleet.store.wake()
+        fleet.store.notify_readers()
         await fleet.wait_for(lambda: not relay.closed)
 
 
@@ -198,7 +198,7 @@
 )  # fmt: skip
 async def test_an_entry_of_another_writer_names_no_replica(value):
     """Some entries are truncated or forged; the others stay valid, and no task ends."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         if isinstance(value, dict):
             value = fleet.replicas[0].entry(address="127.0.0.1:9") | value
         fleet.store.put("keyed.servers", "stranger", value)
@@ -215,7 +215,7 @@
 
     A node that took the replicas for gone would refuse all clients for seconds.
     """
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         relay = fleet.relays[0]
         fleet.store.down = "busy"
         await fleet.wait_for(lambda: not relay.registry.is_reachable)
@@ -252,7 +252,7 @@
     adapter = SimpleNamespace(
         **vars(platform) | {"StoreClient": UnreachableStoreClient}
     )
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         (other,) = fleet.relays
         cut = await fleet.start_relay(adapter=adapter)
         await fleet.wait_for(lambda: cut.peers.alive(now_s=0.0))
@@ -269,7 +269,7 @@
 
 
 async def test_an_outage_of_the_store_stops_nobody():
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         fleet.store.down = "silent"
         await anyio.sleep(1.5)
         answers = [await fleet.look(relay=index) for index in range(2)]
@@ -283,7 +283,7 @@
 
 async def test_a_node_that_starts_in_an_outage_learns_from_its_peers():
     """All state comes from a peer; until then the node serves no clients."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         fleet.store.down = "busy"
         relay = await fleet.start_relay(wait=False)
         address = fleet.relays[0].settings.peer_address
@@ -297,7 +297,7 @@
 
     The node has a configuration, and refuses all clients until it knows the replicas.
     """
-    async with Relayed(relays=0) as fleet:
+    async with RelayDeployment(relays=0) as fleet:
         fleet.store.down = "busy"
         relay = await fleet.start_relay(wait=False)
         relay.settings = replace(relay.settings, registry_interval_s=3.0)
@@ -309,7 +309,7 @@
 
 
 async def test_a_node_that_knows_nothing_is_not_ready_and_says_not_run():
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         fleet.store.down = "busy"
         fleet.relays[0].peers.peers.clear()
         relay = await fleet.start_relay(wait=False)
@@ -329,7 +329,10 @@
     heartbeats. It would pass on its own configuration and replicas, and clients would
     get responses from the other fleet.
     """
-    async with Relayed() as fleet, Relayed(config=make_config(version=99)) as other:
+    async with (
+        RelayDeployment() as fleet,
+        RelayDeployment(config=make_config(version=99)) as other,
+    ):
         ours, strange = fleet.relays[0], other.relays[0]
         now_s = time.monotonic()
         ours.peers.add_address(strange.settings.peer_address, now_s=now_s)
@@ -358,7 +361,7 @@
     nodes sent as much as the replica can take, it would fail under the load.
     """
     config = make_config()
-    async with Relayed(relays=3, replicas=2, config=config) as fleet:
+    async with RelayDeployment(relays=3, replicas=2, config=config) as fleet:
         sent: list[tuple[str, float]] = []
         for relay in fleet.relays:
             record_sent_requests(relay, sent)
@@ -386,7 +389,7 @@
     """A customer's prompts must not leave its region, even if only others are free."""
     config = make_config()
     config["tenants"][0]["allowedRegions"] = ["mu"]
-    async with Relayed(config=config) as fleet:
+    async with RelayDeployment(config=config) as fleet:
         settings = fleet.relays[0].settings
         regions = (("cork-a", "munster"), ("plouis-a", "mu"))
         fleet.relays[0].settings = replace(settings, domain_regions=regions)
@@ -397,19 +400,19 @@
         answers = [await fleet.look() for _ in range(3)]
     assert refused.status_code == 503
     assert [answer.status_code for answer in answers] == [200] * 3
-    assert fleet.replicas[0].seen == []
+    assert fleet.replicas[0].received == []
 
 
 async def test_memory_of_a_huge_prompt_is_held_while_it_runs_and_then_freed():
     """The prompt needs more memory than one replica has; several hold it together."""
-    async with Relayed(replicas=4) as fleet:
+    async with RelayDeployment(replicas=4) as fleet:
         for replica in fleet.replicas:
             replica.kv_tokens = 100_000
             replica.events = 30
             replica.pause_s = 0.05
         answer = await fleet.stream(tokens="210000,300", deadline_ms=5_000)
         held = [replica for replica in fleet.replicas if replica.orders]
-        (request,) = fleet.seen()
+        (request,) = fleet.received()
         await fleet.wait_for(
             lambda: not any(replica.tickets for replica in fleet.replicas)
         )
@@ -429,7 +432,7 @@
 
     One of the replicas has no free memory, so the prompt can't be placed.
     """
-    async with Relayed(replicas=3) as fleet:
+    async with RelayDeployment(replicas=3) as fleet:
         for replica in fleet.replicas:
             replica.kv_tokens = 10
         fleet.replicas[0].kv_tokens = 100_000
@@ -446,7 +449,7 @@
 @pytest.mark.parametrize("tokens", ["50000,300", "210000,300"])
 async def test_a_long_prompt_that_no_replica_takes_is_told_to_come_back(tokens):
     """All replicas leave; a client that gets 500 can't tell whether its request ran."""
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         for replica in fleet.replicas:
             entry = replica.entry(state="draining", seq=2)
             fleet.store.put("keyed.servers", replica.name, entry)
@@ -463,7 +466,7 @@
 
 async def test_a_planned_stop_cuts_no_request():
     """A node is told to stop while streams run and clients go on sending requests."""
-    async with Relayed(relays=2, stop_notice_s=0.5) as fleet:
+    async with RelayDeployment(relays=2, stop_notice_s=0.5) as fleet:
         for replica in fleet.replicas:
             replica.events = 20
             replica.pause_s = 0.04
@@ -476,7 +479,7 @@
             for _ in range(5):
                 group.start_soon(ask)
             await anyio.sleep(0.2)
-            fleet.stops[0].set()
+            fleet.stop_events[0].set()
             await anyio.sleep(0.1)
             late = await fleet.look()
             ready = await fleet.http.get(
@@ -494,7 +497,7 @@
     A client keeps an idle connection open while its node is told to stop. A request
     sent on it just before the end would be read, forwarded and cut off.
     """
-    async with Relayed(stop_notice_s=0.3) as fleet:
+    async with RelayDeployment(stop_notice_s=0.3) as fleet:
         for replica in fleet.replicas:
             replica.events = 20
             replica.pause_s = 0.04
@@ -510,7 +513,7 @@
 
             group.start_soon(ask)
             await anyio.sleep(0.1)
-            fleet.stops[0].set()
+            fleet.stop_events[0].set()
             with anyio.fail_after(0.7), pytest.raises(anyio.EndOfStream):
                 await idle.receive()
     assert answers[0].content.count(b"id:") == 20
--- a/lycheetide/relay/tests/test_leaving.py
+++ b/lycheetide/relay/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import pytest
 from anyio import connect_tcp, sleep
 
-from standins.relay_deployment import HOST, KEY, Relayed
+from standins.relay_deployment import API_KEY, HOST, RelayDeployment
 
 pytestmark = pytest.mark.anyio
 
@@ -23,7 +23,7 @@
         f"Host: {HOST}",
         f"Lycheetide-Attempt-Id: {number:016x}",
         "Lycheetide-Deadline-Ms: 3000",
-        f"Lycheetide-Credential: {KEY}",
+        f"Lycheetide-Credential: {API_KEY}",
         "Lycheetide-Token-Count: 1000,200",
         f"Content-Length: {len(body)}",
     ]
@@ -51,8 +51,8 @@
 
 async def test_a_caller_that_sent_its_next_request_already():
     """A caller pipelines two requests and leaves before the first is answered."""
-    async with Relayed(replicas=1) as fleet:
-        fleet.replicas[0].always = "silent"
+    async with RelayDeployment(replicas=1) as fleet:
+        fleet.replicas[0].default_step = "silent"
         async with await connect(fleet) as caller:
             await caller.send(make_request(1) + make_request(2))
             await wait_for_work(fleet)
@@ -63,8 +63,8 @@
 
 async def test_a_caller_that_leaves_with_its_request():
     """A caller sends a request and closes the connection at once."""
-    async with Relayed(replicas=1) as fleet:
-        fleet.replicas[0].always = "silent"
+    async with RelayDeployment(replicas=1) as fleet:
+        fleet.replicas[0].default_step = "silent"
         async with await connect(fleet) as caller:
             await caller.send(make_request(1))
         await sleep(MAX_END_S)
@@ -74,7 +74,7 @@
 
 async def test_a_caller_that_leaves_without_reading():
     """A caller that reads nothing leaves while the node waits to write to it."""
-    async with Relayed(replicas=1) as fleet:
+    async with RelayDeployment(replicas=1) as fleet:
         (replica,) = fleet.replicas
         replica.events = 1 << 20
         replica.pause_s = 0.0
@@ -87,7 +87,7 @@
 
 async def test_a_caller_that_leaves_while_its_prompt_waits_for_memory():
     """A prompt waits for memory of several replicas when its caller leaves."""
-    async with Relayed(replicas=3) as fleet:
+    async with RelayDeployment(replicas=3) as fleet:
         for replica in fleet.replicas:
             replica.kv_tokens = 10
         async with await connect(fleet) as caller:
--- a/lycheetide/relay/tests/test_reload.py
+++ b/lycheetide/relay/tests/test_reload.py
@@ -4,7 +4,7 @@
 import pytest
 
 from lycheetide.relay import _reload
-from standins.relay_deployment import Relayed
+from standins.relay_deployment import RelayDeployment
 
 pytestmark = pytest.mark.anyio
 
@@ -37,7 +37,7 @@
     monkeypatch.setattr(_reload, "LOOK_S", 0.05)
     path = tmp_path / "node.ini"
     write(path, ratio=0.2)
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         relay = fleet.relays[0]
         relay.settings_path = str(path)
         caller_address = relay.settings.caller_address
@@ -65,7 +65,7 @@
     """An operator saves an incomplete file; a node that ended would cut clients off."""
     path = tmp_path / "node.ini"
     path.write_text(text)
-    async with Relayed() as fleet:
+    async with RelayDeployment() as fleet:
         before = fleet.relays[0].settings
         _reload.reload_settings(fleet.relays[0], str(path))
         _reload.reload_settings(fleet.relays[0], str(tmp_path / "missing.ini"))
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -12,7 +12,7 @@
     must_read_registry,
     must_wait_for_operator_records,
 )
-from standins.relay_deployment import Relayed, make_config
+from standins.relay_deployment import RelayDeployment, make_config
 
 pytestmark = pytest.mark.anyio
 
@@ -36,7 +36,7 @@
 
 
 async def test_one_node_reads_and_all_know():
-    async with Relayed(relays=4) as fleet:
+    async with RelayDeployment(relays=4) as fleet:
         _, followers = await wait_for_fleet(fleet)
         await anyio.sleep(0.7)
         counts = fleet.store.calls.copy()
@@ -61,7 +61,7 @@
 
     The node would send it new work until it ends, and those requests would end with it.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         reader, (follower,) = await wait_for_fleet(fleet)
         real_broadcast = reader.broadcast_change
 
@@ -84,9 +84,9 @@
 
 async def test_a_reader_that_falls_silent_is_replaced():
     """The reader is gone, and no other node has read for a while."""
-    async with Relayed(relays=3) as fleet:
+    async with RelayDeployment(relays=3) as fleet:
         reader, followers = await wait_for_fleet(fleet)
-        fleet.stops[fleet.relays.index(reader)].set()
+        fleet.stop_events[fleet.relays.index(reader)].set()
         await anyio.sleep(0.2)
         fleet.store.put(
             "keyed.servers", "r-0", fleet.replicas[0].entry(state="draining", seq=2)
@@ -106,10 +106,10 @@
     of two topics. A fleet of ninety sent hundreds of calls a second to a store in
     trouble.
     """
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         fleet.store.down = "busy"
-        fleet.store.wake()
+        fleet.store.notify_readers()
         before = len(fleet.store.calls)
         await anyio.sleep(3.0)
         calls = len(fleet.store.calls) - before
@@ -129,7 +129,7 @@
 
 async def test_a_node_that_starts_among_others_lists_little_at_the_store():
     """A release replaces all nodes, and each of them listed all topics at the store."""
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         reader, _ = await wait_for_fleet(fleet)
         before = len(fleet.store.calls)
         late = await fleet.start_relay()
@@ -145,7 +145,7 @@
 
     Each node read every version, though only the last one counts.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         await wait_for_fleet(fleet)
         before = len(fleet.store.calls)
         for version in range(2, 22):
@@ -168,7 +168,7 @@
 
 async def test_a_configuration_is_read_at_few_nodes_and_in_force_at_all():
     """Each node of a fleet used to read each configuration at the store."""
-    async with Relayed(relays=7) as fleet:
+    async with RelayDeployment(relays=7) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         before = len(fleet.store.calls)
@@ -196,7 +196,7 @@
 async def test_a_large_configuration_is_read_from_the_store(monkeypatch):
     """A hub would send 500 kB of configuration to 38 peers over a link of 10 Mbit/s."""
     monkeypatch.setattr(_peer_state, "LINK_MBPS", 0.01)
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         transfers = count_peer_transfers(fleet)
@@ -217,7 +217,7 @@
 async def test_a_node_that_the_store_refuses_gets_a_large_configuration(monkeypatch):
     """The store serves only some nodes; the others must learn of revoked keys too."""
     monkeypatch.setattr(_peer_state, "LINK_MBPS", 0.01)
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
@@ -245,7 +245,7 @@
 
     The others notice, wait for the records themselves, and have them within 2 s.
     """
-    async with Relayed(relays=6) as fleet:
+    async with RelayDeployment(relays=6) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
@@ -273,7 +273,7 @@
     A peer's notice came while the node itself read the same records from the store. It
     was taken for new again and again, and kept the event loop busy.
     """
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
--- a/lycheetide/relay/tests/test_signals.py
+++ b/lycheetide/relay/tests/test_signals.py
@@ -8,7 +8,7 @@
 import pytest
 
 from standins.http import LOOPBACK
-from standins.local import find_port, takes_hangups
+from standins.local import find_port, survives_hangup
 
 SETTINGS = """\
 [node]
@@ -54,7 +54,7 @@
     change. The process ended without a message and was missing until it was restarted.
     """
     begun_s = time.monotonic()
-    while not takes_hangups(node.pid):
+    while not survives_hangup(node.pid):
         assert time.monotonic() - begun_s < INTERPRETER_START_S
         time.sleep(0.002)
     begun_s = time.monotonic()
--- a/lycheetide/relay/tests/test_silence.py
+++ b/lycheetide/relay/tests/test_silence.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from standins.relay_deployment import Relayed, make_patient_config
+from standins.relay_deployment import RelayDeployment, make_long_timeout_config
 from standins.replica import Replica, make_event
 
 pytestmark = pytest.mark.anyio
@@ -25,7 +25,7 @@
 def script_pauses(fleet, step):
     """Make the first answer of each replica pause by the given step."""
     for replica in fleet.replicas:
-        replica.events, replica.script = EVENTS, [step]
+        replica.events, replica.next_steps = EVENTS, [step]
         replica.long_pause_s = PAUSE_S
 
 
@@ -54,7 +54,9 @@
     Either the attempts or the retry budget are used up, or there is no other replica.
     Guards against aborting a stream whose replica would continue.
     """
-    async with Relayed(replicas=replicas, config=make_patient_config()) as fleet:
+    async with RelayDeployment(
+        replicas=replicas, config=make_long_timeout_config()
+    ) as fleet:
         script_pauses(fleet, "pause")
         if not has_budget:
             exhaust_retry_budget(fleet.relays[0])
@@ -72,7 +74,7 @@
     the deadline. A replica that no peer reports is taken for dead, and the caller is
     answered at once.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         script_pauses(fleet, "late")
         exhaust_retry_budget(fleet.relays[0])
         async with anyio.create_task_group() as group:
@@ -96,7 +98,7 @@
     Guards against giving up a prompt at a replica that peers report alive. A node that
     gets no such report takes the replica for dead and answers the caller at once.
     """
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_pauses(fleet, "late")
         async with anyio.create_task_group() as group:
             if is_heard:
@@ -117,10 +119,10 @@
     spare = Replica("r-spare", events=EVENTS)
     async with (
         spare.server.run(),
-        Relayed(replicas=1, config=make_patient_config()) as fleet,
+        RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet,
     ):
         (first,) = fleet.replicas
-        first.events, first.script = EVENTS, ["break"]
+        first.events, first.next_steps = EVENTS, ["break"]
 
         async def add_spare():
             await fleet.wait_for(fleet.runs)
--- a/lycheetide/relay/tests/test_spreading.py
+++ b/lycheetide/relay/tests/test_spreading.py
@@ -25,7 +25,7 @@
 from lycheetide.relay._broadcast import MAX_BUNDLE_BYTES, Broadcaster, make_bundles
 from lycheetide.relay._messaging import BURST_PAUSE_S, MAX_BURST, PeerMessenger
 from lycheetide.relay._roles import HUB_TIMEOUT_S, find_hubs, is_hub
-from standins.relay_deployment import Relayed
+from standins.relay_deployment import RelayDeployment
 
 pytestmark = pytest.mark.anyio
 
@@ -303,7 +303,7 @@
 async def test_all_nodes_of_a_large_fleet_know_all_work(monkeypatch):
     """Each node sends to hubs only, and every node still learns of all placements."""
     monkeypatch.setattr(_broadcast, "LARGE_FLEET", 3)
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await fleet.wait_for(
             lambda: all(
                 len(relay.peers.alive(now_s=time.monotonic())) == 4
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -8,8 +8,12 @@
 import pytest
 
 from lycheetide.gossip import JobPart, Started, make_job
-from standins.http import Answer
-from standins.relay_deployment import Relayed, make_config, make_patient_config
+from standins.http import Response
+from standins.relay_deployment import (
+    RelayDeployment,
+    make_config,
+    make_long_timeout_config,
+)
 from standins.replica import Replica, make_event
 
 pytestmark = pytest.mark.anyio
@@ -29,7 +33,7 @@
 def script_replicas(replicas, steps, *, pause_s=PAUSE_S):
     """Make the first answers of each replica follow the steps."""
     for replica in replicas:
-        replica.events, replica.script = EVENTS, list(steps)
+        replica.events, replica.next_steps = EVENTS, list(steps)
         replica.long_pause_s = pause_s
 
 
@@ -65,7 +69,7 @@
     No other replica may be tried. Guards against ending the attempt before its head
     arrives, by which the caller got 502.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         (relay,) = fleet.relays
         script_replicas(fleet.replicas, ["late"])
 
@@ -93,9 +97,9 @@
     would have continued in time.
     """
     spare = Replica("r-spare", events=EVENTS)
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["pause"])
-        spare.script = [fault]
+        spare.next_steps = [fault]
         async with spare.server.run():
             entry = spare.entry()
             if fault == "unreachable":
@@ -120,7 +124,7 @@
     Guards against moving a stream from a silent replica to one that is known to be no
     better. The caller waits 2 s; the first replica would have continued after 1.6 s.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         (relay,) = fleet.relays
         first, second = fleet.replicas
         script_replicas([first], ["pause"])
@@ -144,7 +148,7 @@
     results = []
     async with (
         spare.server.run(),
-        Relayed(replicas=1, config=make_patient_config()) as fleet,
+        RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet,
     ):
         (relay,) = fleet.relays
         script_replicas(fleet.replicas, ["pause"] * 8)
@@ -169,14 +173,14 @@
     def _take_order(self, order):
         is_new = order["id"] not in self.tickets
         if self.is_full and is_new and order["operation"] == "reserve":
-            return Answer(409, b"{}")
+            return Response(409, b"{}")
         return super()._take_order(order)
 
 
 async def test_a_shared_stream_stays_where_its_memory_is():
     """Guards against leaving a silent replica before memory is reserved at others."""
     replicas = [FullReplica(f"r-{index}") for index in range(5)]
-    fleet = Relayed(replicas=0, config=make_patient_config())
+    fleet = RelayDeployment(replicas=0, config=make_long_timeout_config())
     fleet.replicas += replicas
     async with fleet:
         script_replicas(fleet.replicas, ["pause"])
@@ -198,7 +202,7 @@
     Guards against a second attempt that never reserved memory, while the memory of the
     first attempt stayed reserved for seconds.
     """
-    async with Relayed(replicas=6, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=6, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["silent"])
         for replica in fleet.replicas:
             replica.events = EVENTS
@@ -206,7 +210,7 @@
         async def recover():
             await fleet.wait_for(fleet.runs)
             for replica in fleet.replicas:
-                replica.script = []
+                replica.next_steps = []
 
         async with anyio.create_task_group() as group:
             group.start_soon(recover)
@@ -223,10 +227,10 @@
     Guards against aborting the stream: it never ran at the full replica, and the route
     allows one more attempt.
     """
-    async with Relayed(config=make_patient_config(attempts=3)) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config(attempts=3)) as fleet:
         steps = ["break", "refuse"]
         for replica in fleet.replicas:
-            replica.events, replica.script = EVENTS, steps
+            replica.events, replica.next_steps = EVENTS, steps
         data, _ = await read_stream(fleet)
     assert data == WHOLE_STREAM
 
@@ -237,7 +241,7 @@
     Guards against holding it until its deadline: the caller could retry through another
     node.
     """
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["silent"])
         begun_s = time.monotonic()
         answer = await fleet.look(deadline_ms=4_000)
@@ -251,19 +255,19 @@
     Guards against sending one after the other there, each held until its deadline: a
     replica at which a request stays must become suspected as well.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         (relay,) = fleet.relays
         window = relay.retries("models")
         window.ratio, window.extra = 0.0, 0.0
-        fleet.replicas[0].always = "silent"
-        fleet.replicas[1].always = ""
+        fleet.replicas[0].default_step = "silent"
+        fleet.replicas[1].default_step = ""
         statuses = [(await fleet.look(deadline_ms=1_500)).status_code for _ in range(4)]
     assert statuses.count(200) >= 3
 
 
 async def test_a_stream_that_stays_ends_at_its_time_limit():
     """Guards against holding a stream at a silent replica beyond its deadline."""
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["stall"])
         begun_s = time.monotonic()
         with pytest.raises(httpx.RemoteProtocolError):
@@ -274,7 +278,7 @@
 
 async def test_a_replica_stops_when_the_caller_of_a_silent_stream_leaves():
     """Guards against a replica working on after the caller of a silent stream left."""
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["stall"])
         (replica,) = fleet.replicas
         async with fleet.open_stream(deadline_ms=10_000) as answer:
@@ -293,7 +297,7 @@
     spare = Replica("r-spare", events=EVENTS)
     async with (
         spare.server.run(),
-        Relayed(replicas=1, config=make_patient_config()) as fleet,
+        RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet,
     ):
         script_replicas(fleet.replicas, ["break"])
         async with fleet.open_stream(deadline_ms=10_000) as answer:
@@ -302,7 +306,7 @@
         await anyio.sleep(0.2)
         fleet.store.put("keyed.servers", spare.name, spare.entry())
         await anyio.sleep(1.5)
-        assert spare.seen == []
+        assert spare.received == []
 
 
 @pytest.mark.parametrize("replicas", [1, 2])
@@ -311,7 +315,9 @@
 
     Guards against aborting a stream that is running.
     """
-    async with Relayed(replicas=replicas, config=make_patient_config()) as fleet:
+    async with RelayDeployment(
+        replicas=replicas, config=make_long_timeout_config()
+    ) as fleet:
         (relay,) = fleet.relays
         script_replicas(fleet.replicas, ["pause"])
 
@@ -339,7 +345,7 @@
 
     Guards against a stream trying three dead replicas one after the other, for 0.4 s.
     """
-    async with Relayed(relays=2, config=make_patient_config()) as fleet:
+    async with RelayDeployment(relays=2, config=make_long_timeout_config()) as fleet:
         await fleet.wait_for(
             lambda: all(
                 len(relay.peers.alive(now_s=time.monotonic())) == 1
@@ -348,7 +354,7 @@
         )
         steps = ["break"]
         for replica in fleet.replicas:
-            replica.events, replica.script = EVENTS, steps
+            replica.events, replica.next_steps = EVENTS, steps
         data, _ = await read_stream(fleet)
         (broken,) = [
             name
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -6,7 +6,7 @@
 import anyio
 import httpx
 
-from soak.deployment import HOST, KEY, PATIENT_TIMEOUT_MS, SECOND_KEY
+from soak.deployment import API_KEY, HOST, PATIENT_TIMEOUT_MS, SECOND_KEY
 
 CALLER_COUNT = 24
 MEAN_PAUSE_S = 0.25
@@ -145,7 +145,7 @@
         "host": HOST,
         "lycheetide-attempt-id": attempt_id,
         "lycheetide-deadline-ms": str(int(find_deadline_s(kind) * 1000)),
-        "lycheetide-credential": SECOND_KEY if kind == "second_key" else KEY,
+        "lycheetide-credential": SECOND_KEY if kind == "second_key" else API_KEY,
     }
     method, path, tokens = {
         "look": ("GET", "/look/a", None),
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -16,8 +16,8 @@
 from soak.proxy import Proxy
 from soak.replicas import COLD_PER_S, RecordingReplica
 from standins.http import LOOPBACK
-from standins.local import catches_hangups, find_port, takes_hangups
-from standins.relay_deployment import CUSTOMER, HOST, KEY, make_config
+from standins.local import find_port, handles_hangup, survives_hangup
+from standins.relay_deployment import API_KEY, CUSTOMER, HOST, make_config
 from standins.store import Store
 
 FAILURE_DOMAINS = ("cork-a", "cork-b", "cork-c")
@@ -82,7 +82,7 @@
         A node installs its SIGHUP handler once it has read them.
         """
         is_running = self.process is not None and self.process.poll() is None
-        return is_running and catches_hangups(self.process.pid)
+        return is_running and handles_hangup(self.process.pid)
 
     @property
     def in_rotation(self):
@@ -174,7 +174,7 @@
 
     def publish(self, *, without_second_key=False):
         """Write the next version of the configuration to the store."""
-        keys = [KEY] if without_second_key else [KEY, SECOND_KEY]
+        keys = [API_KEY] if without_second_key else [API_KEY, SECOND_KEY]
         config = make_config(
             version=self.version, tenants=[{"name": CUSTOMER, "apiKeys": keys}]
         )
@@ -262,7 +262,7 @@
         """
         if node.process is None or node.process.poll() is not None:
             return
-        if number == signal.SIGHUP and not takes_hangups(node.process.pid):
+        if number == signal.SIGHUP and not survives_hangup(node.process.pid):
             return
         if number in (signal.SIGKILL, signal.SIGTERM):
             node.exit_expected = True
@@ -317,4 +317,4 @@
         return [node for node in self.nodes if node.in_rotation] or self.nodes
 
 
-__all__ = ["HOST", "KEY", "SECOND_KEY", "Deployment", "Node"]
+__all__ = ["API_KEY", "HOST", "SECOND_KEY", "Deployment", "Node"]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -201,9 +201,9 @@
         replica, _ = self._target_replica(fault)
         kinds = ("reset", "break", "garbled", "crossed", "extra", "fail", "refuse",
                  "stall", "unframed-reset")  # fmt: skip
-        replica.script = [kinds[(fault.target // 64) % len(kinds)]] * 6
+        replica.next_steps = [kinds[(fault.target // 64) % len(kinds)]] * 6
         await anyio.sleep(fault.duration_s)
-        replica.script = []
+        replica.next_steps = []
         return [f"replica {replica.name}"]
 
     async def _crash(self, fault):
@@ -306,7 +306,7 @@
         """Make the store unavailable and expire the entries of some replicas."""
         deployment = self.deployment
         deployment.store.down = down
-        deployment.store.wake()
+        deployment.store.notify_readers()
         expired_entries = {
             replica.name
             for index, replica in enumerate(deployment.replicas)
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -8,7 +8,7 @@
 from soak.callers import SILENCE_TIMEOUT_S, find_deadline_s
 from soak.deployment import FAILURE_DOMAINS
 from soak.replicas import COLD_PER_S, PATIENT_STREAM_EVENTS, STREAM_EVENTS
-from standins.replica import SEAL
+from standins.replica import RESPONSE_SEAL
 
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 """Statuses that guarantee that the request did not and will not run."""
@@ -101,7 +101,7 @@
         headers = dict(attempt.headers)
         if headers.get("lycheetide-attempt-id") != attempt.id:
             yield f"MIXED {attempt.id} received the response to another attempt"
-        if headers.get("lycheetide-response-seal") != SEAL:
+        if headers.get("lycheetide-response-seal") != RESPONSE_SEAL:
             yield f"MIXED {attempt.id} received a response without its replica's seal"
         if attempt.kind in SILENCE_TIMEOUT_S:
             yield from _check_stream(attempt)
--- a/soak/replicas.py
+++ b/soak/replicas.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from standins.http import Answer
+from standins.http import Response
 from standins.replica import Replica
 
 STREAM_EVENTS = 6
@@ -35,7 +35,7 @@
 
     def __init__(self, name, *, events=STREAM_EVENTS, pause_s=EVENT_INTERVAL_S):
         super().__init__(name, events=events, pause_s=pause_s)
-        self.signs = True
+        self.adds_attempt_ids = True
         self.arrivals = []
         self.cold = []
         self.quiet = []
@@ -71,7 +71,7 @@
         now_s = time.monotonic()
         self.quiet.append((now_s, now_s + seconds))
 
-    async def wait_to_speak(self):
+    async def wait_before_writing(self):
         """Wait until all current silences have ended."""
         while True:
             now_s = time.monotonic()
@@ -92,7 +92,7 @@
 
     def _take_order(self, order):
         """Apply an order and record when a reservation expires."""
-        answer: Answer = super()._take_order(order)
+        answer: Response = super()._take_order(order)
         if order["operation"] == "reserve" and answer.status == 200:
             self.expires_s[order["id"]] = time.monotonic() + order["holdMs"] / 1000
         return answer
--- a/soak/tests/test_callers.py
+++ b/soak/tests/test_callers.py
@@ -30,7 +30,7 @@
 
 async def call(write):
     """Return the attempt of a caller at a node whose responses a function writes."""
-    server = HttpServer(write, raw=True)
+    server = HttpServer(write, passes_stream=True)
     async with server.run(), httpx.AsyncClient(timeout=5.0, trust_env=False) as client:
         node = SimpleNamespace(
             name="entry-0", front=SimpleNamespace(address=server.address)
@@ -85,5 +85,5 @@
     started_s = time.monotonic()
     replica.go_silent(0.3)
     replica.go_silent(0.1)
-    await replica.wait_to_speak()
+    await replica.wait_before_writing()
     assert 0.25 < time.monotonic() - started_s < 2.0
--- a/soak/tests/test_judge.py
+++ b/soak/tests/test_judge.py
@@ -9,9 +9,9 @@
 from soak.judge import STREAM_EVENTS, RunRecord, find_violations
 from soak.plan import SILENCE_RANGE_S, generate_faults, generate_silences
 from soak.replicas import RecordingReplica
-from standins.replica import SEAL
+from standins.replica import RESPONSE_SEAL
 
-HEADERS = (("lycheetide-attempt-id", "a1"), ("lycheetide-response-seal", SEAL))
+HEADERS = (("lycheetide-attempt-id", "a1"), ("lycheetide-response-seal", RESPONSE_SEAL))
 
 
 def make_stream(attempt_id="a1", numbers=range(1, STREAM_EVENTS + 1)):
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -80,7 +80,7 @@
     return head + "abcd" * max(0, tokens - 2)
 
 
-def ask_prompt(
+def send_prompt(
     node, tokens, *, max_tokens=4, seed=0, prompt=None, model="assistant",
     timeout_s=60.0, **header_fields,
 ):  # fmt: skip
@@ -146,7 +146,7 @@
     )  # fmt: skip
 
 
-def get_key(node, **header_fields):
+def request_idempotency_key(node, **header_fields):
     """Request a new idempotency key from a node."""
     return post(node, "/v1/keys", {}, **header_fields).body["key"]
 
@@ -163,7 +163,7 @@
     return sum(fleet.record(name)["runs"].get(key, 0) for name in fleet.services)
 
 
-def list_started(fleet):
+def list_started_request_ids(fleet):
     """Return the ids of all requests that a running upstream has started."""
     started: set[str] = set()
     for name in (*fleet.engines, *fleet.services):
@@ -173,7 +173,7 @@
     return started
 
 
-def sum_held(fleet):
+def sum_kv_used_tokens(fleet):
     """Return the KV memory in use on all running engines, in tokens."""
     return sum(
         fleet.record(name)["kv_used_tokens"]
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -6,9 +6,15 @@
 from dataclasses import replace
 
 from lycheetide.fleet import FailureDomain
-from standins.callers import ask_prompt, book, count_runs, get_key, post
-from standins.invariants import find_broken, wait_memory_free
-from standins.local import LocalFleet, make_forge_works
+from standins.callers import (
+    book,
+    count_runs,
+    post,
+    request_idempotency_key,
+    send_prompt,
+)
+from standins.invariants import find_violations, wait_until_memory_free
+from standins.local import LocalFleet, start_example_fleet
 
 SIZES = ((1_000, "quote"), (10_000, "quote"), (100_000, "review"), (990_000, "archive"))
 DEADLINE_S = 40.0
@@ -25,7 +31,7 @@
         tokens, request_class = SIZES[0] if index % 6 else SIZES[1 + index // 6 % 3]
         pending.append(
             pool.submit(
-                ask_prompt, nodes[index % len(nodes)], tokens, seed=index,
+                send_prompt, nodes[index % len(nodes)], tokens, seed=index,
                 request_class=request_class, deadline_s=DEADLINE_S, max_tokens=8,
                 customer=("kestrel", "parish")[index % 2],
             )
@@ -80,7 +86,7 @@
         for i in range(6)
     ]
     rows.append(("order lookups", [replace(a, request_id="") for a in lookups]))
-    keys = [get_key(nodes[i % 3]) for i in range(6)]
+    keys = [request_idempotency_key(nodes[i % 3]) for i in range(6)]
     deposits = list(pool.map(lambda i: book(nodes[i % 3], keys[i]), range(6)))
     repeated = list(pool.map(lambda i: book(nodes[(i + 1) % 3], keys[i]), range(6)))
     rows += [("deposits", deposits), ("deposits repeated elsewhere", repeated)]
@@ -107,8 +113,8 @@
     answers = [a for _, a in mixed + during + after]
     unanswered = [a for a in answers if a.outcome != "answered"]
     broken += [f"unanswered: {a.outcome} {a.reason}" for a in unanswered]
-    broken += find_broken(fleet, answers, deadline_s=DEADLINE_S)
-    freed_s = wait_memory_free(fleet)
+    broken += find_violations(fleet, answers, deadline_s=DEADLINE_S)
+    freed_s = wait_until_memory_free(fleet)
     print(f"{DOMAIN} out on all nodes after {out_s:.2f} s, in after {in_s:.2f} s;")
     print(f"all KV memory free {freed_s:.2f} s after the last response\n")
     return rows, broken
@@ -118,7 +124,7 @@
     """Run the demonstration; exit with status 1 if a guarantee was violated."""
     start_s = time.monotonic()
     with LocalFleet() as fleet, ThreadPoolExecutor(48) as pool:
-        make_forge_works(fleet, engines=6, nodes=3, prefill_tokens_per_s=1_000_000.0)
+        start_example_fleet(fleet, engines=6, nodes=3, prefill_tokens_per_s=1_000_000.0)
         ready_s = fleet.wait_ready()
         print(f"3 nodes, 6 engines, 3 booking replicas ready after {ready_s:.2f} s")
         rows, broken = run(fleet, pool)
--- a/standins/http.py
+++ b/standins/http.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class Response:
     """A complete response with a Content-Length."""
 
     status: int
@@ -44,7 +44,7 @@
         return "\r\n".join(lines).encode() + self.body
 
 
-RESPONSE_SENT = Answer(0, b"")
+RESPONSE_SENT = Response(0, b"")
 """Returned by a handler that wrote its response itself; the connection stays open."""
 
 
@@ -62,7 +62,7 @@
     stream._transport.abort()
 
 
-class Reset(Exception):
+class ConnectionReset(Exception):
     """Raised by a handler to have the connection reset."""
 
 
@@ -87,16 +87,16 @@
     Parameters
     ----------
     handle : callable
-        Coroutine function that gets a request, and the stream too if ``raw`` is true.
-        It returns a response, or ``RESPONSE_SENT`` if it wrote the response itself, or
-        None to close the connection.
-    raw : bool
+        Coroutine function that gets a request, and the stream too if ``passes_stream``
+        is true. It returns a response, or ``RESPONSE_SENT`` if it wrote the response
+        itself, or None to close the connection.
+    passes_stream : bool
         Whether the handler also gets the stream of the connection.
     """
 
-    def __init__(self, handle, *, raw=False):
+    def __init__(self, handle, *, passes_stream=False):
         self.handle = handle
-        self.raw = raw
+        self.passes_stream = passes_stream
         self.address = ""
         self.connections = 0
 
@@ -115,7 +115,7 @@
                 request = await self._read(parser, stream)
                 if request is None:
                     return
-                if self.raw:
+                if self.passes_stream:
                     answer = await self.handle(request, stream)
                 else:
                     answer = await self.handle(request)
@@ -126,7 +126,7 @@
                 parser = h11.Connection(h11.SERVER)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             return
-        except Reset:
+        except ConnectionReset:
             reset(stream)
         finally:
             with anyio.CancelScope(shield=True):
--- a/standins/invariants.py
+++ b/standins/invariants.py
@@ -1,14 +1,14 @@
 """Check the guarantees of a fleet against what its upstreams have recorded."""
 
-from standins.callers import list_started, sum_held
+from standins.callers import list_started_request_ids, sum_kv_used_tokens
 
 MEMORY_FREE_TIMEOUT_S = 12.0
 DEADLINE_TOLERANCE_S = 1.5
 
 
-def find_false_not_run(fleet, answers):
+def find_wrong_not_run(fleet, answers):
     """Return the results "not_run" whose request an upstream has started."""
-    started = list_started(fleet)
+    started = list_started_request_ids(fleet)
     return [
         answer
         for answer in answers
@@ -42,18 +42,20 @@
     return [a for a in answers if a.total_s > deadline_s + DEADLINE_TOLERANCE_S]
 
 
-def wait_memory_free(fleet, *, timeout_s=MEMORY_FREE_TIMEOUT_S):
+def wait_until_memory_free(fleet, *, timeout_s=MEMORY_FREE_TIMEOUT_S):
     """Wait until no engine has KV memory in use; return the seconds that it took."""
     return fleet.wait_for(
-        lambda: sum_held(fleet) == 0, timeout_s=timeout_s, what="empty engines"
+        lambda: sum_kv_used_tokens(fleet) == 0,
+        timeout_s=timeout_s,
+        what="empty engines",
     )
 
 
-def find_broken(fleet, answers, *, deadline_s):
+def find_violations(fleet, answers, *, deadline_s):
     """Return a line for each guarantee that some result violates."""
     broken = []
     for name, found in (
-        ("false 'not run'", find_false_not_run(fleet, answers)),
+        ("false 'not run'", find_wrong_not_run(fleet, answers)),
         ("token of another request, or missing token", find_foreign_tokens(answers)),
         ("stream truncated without an error", find_truncated(answers)),
         ("end after the deadline", find_late(answers, deadline_s)),
--- a/standins/local.py
+++ b/standins/local.py
@@ -79,25 +79,25 @@
     return claim
 
 
-def takes_hangups(pid):
+def survives_hangup(pid):
     """Return whether a process ignores or handles SIGHUP, according to ``/proc``.
 
     While the interpreter starts, before it runs any code of this project, SIGHUP ends
     the process.
     """
-    return _handles_hangups(pid, "SigIgn") or catches_hangups(pid)
+    return _is_sighup_in_mask(pid, "SigIgn") or handles_hangup(pid)
 
 
-def catches_hangups(pid):
+def handles_hangup(pid):
     """Return whether a process has a handler for SIGHUP.
 
     A node ignores SIGHUP while it imports its libraries, and so does a process whose
     parent ignores it. A node installs its handler once it has read its settings.
     """
-    return _handles_hangups(pid, "SigCgt")
+    return _is_sighup_in_mask(pid, "SigCgt")
 
 
-def _handles_hangups(pid, mask):
+def _is_sighup_in_mask(pid, mask):
     """Return whether SIGHUP is set in one of the signal masks of a process."""
     with open(f"/proc/{pid}/status", encoding="ascii") as file:
         rows = dict(line.split(":", 1) for line in file)
@@ -124,12 +124,12 @@
         self.signal(signal.SIGKILL)
         self.popen.wait(STOP_TIMEOUT_S)
 
-    def freeze(self):
+    def suspend(self):
         """Suspend the process with SIGSTOP; its connections stay open."""
         self.signal(signal.SIGSTOP)
 
-    def thaw(self):
-        """Resume the process after ``freeze``."""
+    def resume(self):
+        """Resume the process after ``suspend``."""
         self.signal(signal.SIGCONT)
 
     def is_running(self):
@@ -168,7 +168,7 @@
         """Kill all processes of this fleet that still run."""
         for process in self.processes.values():
             if process.is_running():
-                process.thaw()
+                process.resume()
                 process.kill()
         self.http.close()
 
@@ -241,10 +241,10 @@
             failure_domain=failure_domain,
         )
         self.nodes[name] = node
-        self.list_hosts()
+        self.publish_hosts()
         return node
 
-    def list_hosts(self, *, leaving=()):
+    def publish_hosts(self, *, leaving=()):
         """Write all nodes to the host list of the platform.
 
         Nodes named in ``leaving`` are listed in the state "leaving".
@@ -284,7 +284,7 @@
         """Return the operator status of a node, or None if it can't be read."""
         return self.try_get(f"{self.nodes[name].operator_url}/status")
 
-    def read_turns(self, *, max_lines=12):
+    def read_state_changes(self, *, max_lines=12):
         """Yield the last log lines of each node on state changes and stalls."""
         for name in self.nodes:
             lines = (self.folder / f"{name}.log").read_text().splitlines()
@@ -355,7 +355,7 @@
 TOKENS = {"kestrel": "kestrel-token", "parish": "parish-token"}
 
 
-def make_forge_works(fleet, *, engines=6, nodes=3, bookings=3, **engine_options):
+def start_example_fleet(fleet, *, engines=6, nodes=3, bookings=3, **engine_options):
     """Start the small fleet of the example "Forge Works"; publish its configuration."""
     fleet.start_platform()
     builder = FleetBuilder(replicas_per_cell=engine_options.pop("per_cell", 8))
--- a/standins/relay_deployment.py
+++ b/standins/relay_deployment.py
@@ -16,7 +16,7 @@
 from standins.store import Store
 
 HOST = "works.example"
-KEY = "key-of-hule"
+API_KEY = "key-of-hule"
 CUSTOMER = "hule"
 WAIT_TIMEOUT_S = 5.0
 
@@ -51,11 +51,11 @@
         ],
         "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 10_000,
                    "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000},
-        "tenants": [{"name": CUSTOMER, "apiKeys": [KEY]}],
+        "tenants": [{"name": CUSTOMER, "apiKeys": [API_KEY]}],
     } | changes  # fmt: skip
 
 
-def make_patient_config(attempts=2):
+def make_long_timeout_config(attempts=2):
     """Return a configuration with timeouts of 10 s, which outlast two long pauses.
 
     Parameters
@@ -72,7 +72,7 @@
     return config
 
 
-class Relayed:
+class RelayDeployment:
     """A small deployment; use as an asynchronous context manager.
 
     Parameters
@@ -90,7 +90,7 @@
         self.store = Store()
         self.replicas = [Replica(f"r-{index}") for index in range(replicas)]
         self.relays = []
-        self.stops = []
+        self.stop_events = []
         self.count = relays
         self.config = config or make_config()
         self.http: Any = None
@@ -115,7 +115,7 @@
 
     async def __aexit__(self, *error):
         """Stop all relays and servers."""
-        for stop in self.stops:
+        for stop in self.stop_events:
             stop.set()
         with anyio.CancelScope(shield=True):
             await self.wait_for(lambda: self.running == 0)
@@ -127,9 +127,9 @@
 
         With ``wait``, return once it has a configuration and has discovered replicas.
         """
-        index = len(self.stops)
+        index = len(self.stop_events)
         stop = anyio.Event()
-        self.stops.append(stop)
+        self.stop_events.append(stop)
         settings = RelaySettings(
             name=f"entry-{index}", region="munster", failure_domain="cork-a",
             caller_address=f"{LOOPBACK}:{find_port()}",
@@ -187,7 +187,9 @@
             await anyio.sleep(0.01)
         return time.monotonic() - start_s
 
-    def make_headers(self, *, tokens="1000,200", deadline_ms=3_000, key=KEY, **more):
+    def make_headers(
+        self, *, tokens="1000,200", deadline_ms=3_000, key=API_KEY, **more
+    ):
         """Return the request headers of a caller, with a new attempt id."""
         self._attempt_count += 1
         headers = {
@@ -235,6 +237,6 @@
         """Return the ids of all attempts that a replica ran, with repetitions."""
         return [attempt for replica in self.replicas for attempt in replica.runs]
 
-    def seen(self):
+    def received(self):
         """Return all requests that a replica received."""
-        return [request for replica in self.replicas for request in replica.seen]
+        return [request for replica in self.replicas for request in replica.received]
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -1,7 +1,7 @@
 """Simulator of a replica of the users' platform, with fault injection.
 
-How it handles a request is named by a step. The steps in ``script`` apply to the next
-requests, one each; ``always`` applies to all further ones.
+How it handles a request is named by a step. The steps in ``next_steps`` apply to the
+next requests, one each; ``default_step`` applies to all further ones.
 """
 
 import json
@@ -9,9 +9,9 @@
 
 import anyio
 
-from standins.http import RESPONSE_SENT, Answer, HttpServer, Reset
+from standins.http import RESPONSE_SENT, ConnectionReset, HttpServer, Response
 
-SEAL = "3e1b.07"
+RESPONSE_SEAL = "3e1b.07"
 
 
 def make_event(number, attempt=""):
@@ -38,7 +38,7 @@
 
     Attributes
     ----------
-    seen : list of Request
+    received : list of Request
         All requests that were received, except reservation orders.
     received_times : list of float
         When these requests were received.
@@ -52,22 +52,22 @@
         Capacity of the KV memory for reservations.
     cancelled_s : list of float
         When callers closed the connections of unfinished responses.
-    drops_kept : bool
+    resets_reused_connections : bool
         Whether requests on a connection that has already served one are answered with a
         reset.
-    signs : bool
+    adds_attempt_ids : bool
         Whether each event contains the id of its attempt.
-    script : list
+    next_steps : list
         Steps of the next requests: "refuse", "refuse-helped" (only those with helpers),
         "reset", "silent", "break", "stall", "garbled", "crossed", "extra", "unframed",
         "unframed-reset", "fail", "other", "late" and "pause" (the last two send nothing
         for ``long_pause_s``, before the response and after two events respectively, and
         then continue).
-    always : str
-        Step of the requests after those of ``script``; empty for a normal response.
+    default_step : str
+        Step of the requests after those of ``next_steps``; empty for a normal response.
     long_pause_s : float
         Length of the pause of the steps "late" and "pause".
-    leaving_helper : str
+    refused_helper : str
         Address of a replica; requests that use it as a helper are refused, and the
         refusal names it.
     """
@@ -76,21 +76,21 @@
         self.name = name
         self.events = events
         self.pause_s = pause_s
-        self.seen = []
+        self.received = []
         self.received_times = []
         self.runs = []
         self.orders = []
         self.tickets = {}
         self.kv_tokens = 1 << 40
         self.cancelled_s = []
-        self.script = []
-        self.always = ""
-        self.leaving_helper = ""
+        self.next_steps = []
+        self.default_step = ""
+        self.refused_helper = ""
         self.long_pause_s = 0.0
-        self.signs = False
-        self.drops_kept = False
+        self.adds_attempt_ids = False
+        self.resets_reused_connections = False
         self._used_connections = set()
-        self.server = HttpServer(self.answer, raw=True)
+        self.server = HttpServer(self.answer, passes_stream=True)
 
     @property
     def address(self):
@@ -109,22 +109,22 @@
         """Handle one request."""
         if request.target == "/-/order":
             return self._take_order(json.loads(request.body))
-        if self.drops_kept and stream in self._used_connections:
-            raise Reset
+        if self.resets_reused_connections and stream in self._used_connections:
+            raise ConnectionReset
         self._used_connections.add(stream)
-        self.seen.append(request)
+        self.received.append(request)
         self.received_times.append(time.monotonic())
-        step = self.script.pop(0) if self.script else self.always
+        step = self.next_steps.pop(0) if self.next_steps else self.default_step
         expected = request.headers["lycheetide-expect-instance"]
         if step == "other" or expected != self.name:
-            return Answer(421, b"", {"Lycheetide-Instance-Id": "another"})
+            return Response(421, b"", {"Lycheetide-Instance-Id": "another"})
         helpers = request.headers.get("lycheetide-helpers", "")
         has_helpers = bool(helpers)
-        if self.leaving_helper and self.leaving_helper in helpers:
-            head = {"Lycheetide-Not-Executed": "1", "At-Server": self.leaving_helper}
-            return Answer(503, b"", head)
+        if self.refused_helper and self.refused_helper in helpers:
+            head = {"Lycheetide-Not-Executed": "1", "At-Server": self.refused_helper}
+            return Response(503, b"", head)
         if step == "refuse" or (step == "refuse-helped" and has_helpers):
-            return Answer(503, b"", {"Lycheetide-Not-Executed": "1"})
+            return Response(503, b"", {"Lycheetide-Not-Executed": "1"})
         attempt = request.headers.get("lycheetide-attempt-id", "")
         self.runs.append(attempt)
         return await self._run(request, stream, step, attempt)
@@ -132,16 +132,19 @@
     async def _run(self, request, stream, step, attempt):
         """Run a request according to its step."""
         if step == "reset":
-            raise Reset
+            raise ConnectionReset
         if step == "silent":
             await self._wait_for_close(stream)
         if step == "late":
             await anyio.sleep(self.long_pause_s)
         if step == "crossed":
             attempt = "0" * 16
-        head = {"Lycheetide-Attempt-Id": attempt, "Lycheetide-Response-Seal": SEAL}
+        head = {
+            "Lycheetide-Attempt-Id": attempt,
+            "Lycheetide-Response-Seal": RESPONSE_SEAL,
+        }
         if step == "fail":
-            return Answer(500, b"broken", head)
+            return Response(500, b"broken", head)
         if step == "garbled":
             await stream.send(b"\x00\x01\x02 this is no answer\r\n\r\n")
             return None
@@ -151,21 +154,21 @@
 
     async def _answer_short(self, stream, head, step, attempt):
         """Send a short response that is not a stream, or a faulty one."""
-        await self.wait_to_speak()
-        answer = Answer(200, f"{self.name} answers {attempt}".encode(), head)
+        await self.wait_before_writing()
+        answer = Response(200, f"{self.name} answers {attempt}".encode(), head)
         if step == "break":
-            await stream.send(Answer(200, b"x" * 400, head).encode()[:-100])
-            raise Reset
+            await stream.send(Response(200, b"x" * 400, head).encode()[:-100])
+            raise ConnectionReset
         if step.startswith("unframed"):
             lines = [f"{name}: {value}" for name, value in head.items()]
             text = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", "x" * 300])
             await stream.send(text.encode())
             await anyio.sleep(0.05)
             if step == "unframed-reset":
-                raise Reset
+                raise ConnectionReset
             return None
         if step == "extra":
-            await stream.send(answer.encode() + Answer(200, b"extra", head).encode())
+            await stream.send(answer.encode() + Response(200, b"extra", head).encode())
             await anyio.sleep(0.2)
             return None
         return answer
@@ -176,30 +179,35 @@
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         text = "HTTP/1.1 200 OK\r\n" + "\r\n".join(lines) + "\r\n\r\n"
         start = int(request.headers.get("last-event-id", 0))
-        signature = f" {head['Lycheetide-Attempt-Id']}" if self.signs else ""
+        signature = f" {head['Lycheetide-Attempt-Id']}" if self.adds_attempt_ids else ""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._watch_for_close, stream)
-                await self.wait_to_speak()
+                await self.wait_before_writing()
                 await stream.send(text.encode())
                 for number in range(start + 1, self.count_events(request) + 1):
                     if step == "break" and number == start + 3:
                         await stream.send(b"20\r\nid: 3\nda")
-                        raise Reset
+                        raise ConnectionReset
                     if step == "stall" and number == start + 3:
                         await anyio.sleep_forever()
                     if step == "pause" and number == start + 3:
                         await anyio.sleep(self.long_pause_s)
-                    await self.wait_to_speak()
+                    await self.wait_before_writing()
                     await stream.send(chunk(make_event(number, signature)))
                     await anyio.sleep(self.pause_s)
                 group.cancel_scope.cancel()
-        except* (Reset, OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            raise Reset from None
+        except* (
+            ConnectionReset,
+            OSError,
+            anyio.BrokenResourceError,
+            anyio.ClosedResourceError,
+        ):
+            raise ConnectionReset from None
         await stream.send(b"0\r\n\r\n")
         return RESPONSE_SENT
 
-    async def wait_to_speak(self):
+    async def wait_before_writing(self):
         """Wait before writing: not at all here, but subclasses may override this."""
 
     def count_events(self, request):
@@ -212,7 +220,7 @@
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
             self.cancelled_s.append(time.monotonic())
-            raise Reset from None
+            raise ConnectionReset from None
 
     async def _wait_for_close(self, stream):
         """Send nothing until the caller closes the connection."""
@@ -220,16 +228,16 @@
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
             self.cancelled_s.append(time.monotonic())
-        raise Reset
+        raise ConnectionReset
 
     def _take_order(self, order):
         """Reserve KV memory, or release a reservation."""
         self.orders.append(order)
         if order["operation"] == "release":
             self.tickets.pop(order["id"], None)
-            return Answer(200, b"{}")
+            return Response(200, b"{}")
         other_tokens = sum(v for k, v in self.tickets.items() if k != order["id"])
         if other_tokens + order["tokens"] > self.kv_tokens:
-            return Answer(409, b"{}")
+            return Response(409, b"{}")
         self.tickets[order["id"]] = order["tokens"]
-        return Answer(200, b'{"free":1}')
+        return Response(200, b'{"free":1}')
--- a/standins/store.py
+++ b/standins/store.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from standins.http import Answer, HttpServer
+from standins.http import HttpServer, Response
 
 LENGTH_BYTES = 4
 MAX_WAIT_S = 30.0
@@ -68,14 +68,14 @@
         """Append a record as operators and replicas do; encode other values as JSON."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.topic(topic).put(key, data)
-        self.wake()
+        self.notify_readers()
 
     def remove(self, topic, key):
         """Delete a key."""
         self.topic(topic).put(key, b"")
-        self.wake()
+        self.notify_readers()
 
-    def wake(self):
+    def notify_readers(self):
         """Wake all reads that wait for new records."""
         self.changed.set()
         self.changed = anyio.Event()
@@ -97,7 +97,7 @@
         if self.down == "silent":
             await anyio.sleep_forever()
         if self.down:
-            return Answer(503, b"{}")
+            return Response(503, b"{}")
         parts = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         topic = self.topic(query["topic"])
@@ -112,8 +112,8 @@
         key_length = body[LENGTH_BYTES]
         key = body[LENGTH_BYTES + 1 : LENGTH_BYTES + 1 + key_length].decode()
         topic.put(key, body[LENGTH_BYTES + 1 + key_length :])
-        self.wake()
-        return Answer(200, json.dumps({"offset": topic.end - 1}).encode())
+        self.notify_readers()
+        return Response(200, json.dumps({"offset": topic.end - 1}).encode())
 
     def _newest(self, topic):
         """Return the newest record of each key that is not deleted."""
@@ -123,7 +123,7 @@
             if value
         ]
         body = {"items": items, "more": False, "end": topic.end}
-        return Answer(200, json.dumps(body).encode())
+        return Response(200, json.dumps(body).encode())
 
     async def _read(self, topic, query):
         """Return the records from an offset on; wait for one if there is none yet."""
@@ -132,11 +132,11 @@
             while topic.end <= offset and not self.down:
                 await self.changed.wait()
         if self.down:
-            return Answer(503, b"{}")
+            return Response(503, b"{}")
         if offset < topic.first:
-            return Answer(410, json.dumps({"first": topic.first}).encode())
+            return Response(410, json.dumps({"first": topic.first}).encode())
         body = topic.end.to_bytes(8, "big") + topic.first.to_bytes(8, "big")
         for key, value in topic.records[offset - topic.first :]:
             record = bytes([len(key)]) + key.encode() + value
             body += len(record).to_bytes(LENGTH_BYTES, "big") + record
-        return Answer(200, body)
+        return Response(200, body)
