--- a/soak/run.py
+++ b/soak/run.py
@@ -8,10 +8,10 @@
 
 from lycheetide.tasks import TICK_S, StallDetector
 from soak.callers import CALL_KINDS, CALL_KINDS_WITH_PATIENT, CALLER_COUNT, run_caller
+from soak.checks import RunRecord, find_violations
 from soak.deployment import PATIENT_TIMEOUT_MS, STOP_NOTICE_S, STOP_S, Deployment
 from soak.faults import FaultInjector
-from soak.judge import RunRecord, find_violations
-from soak.plan import generate_faults, generate_silences
+from soak.schedule import generate_faults, generate_silences
 
 FAULT_PHASE_S = 10.0
 FAULT_COUNT = 14
--- a/soak/tests/test_judge.py
+++ b/soak/tests/test_judge.py
@@ -5,10 +5,10 @@
 import pytest
 
 from soak.callers import Attempt
+from soak.checks import STREAM_EVENTS, RunRecord, find_violations
 from soak.faults import Disturbance
-from soak.judge import STREAM_EVENTS, RunRecord, find_violations
-from soak.plan import SILENCE_RANGE_S, generate_faults, generate_silences
 from soak.replicas import RecordingReplica
+from soak.schedule import SILENCE_RANGE_S, generate_faults, generate_silences
 from standins.replica import RESPONSE_SEAL
 
 HEADERS = (("lycheetide-attempt-id", "a1"), ("lycheetide-response-seal", RESPONSE_SEAL))
