--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from benchmarks.policy import describe_commit
-from lycheetide.bookings import Claim, decide, make_claim_record
+from lycheetide.bookings import Claim, make_claim_record, resolve_claim
 from lycheetide.fleet import (
     ConfigState,
     FailureDomain,
@@ -30,19 +30,19 @@
     CellSummary,
     Evidence,
     Member,
+    MemberRow,
     Membership,
-    Row,
     make_view_record,
 )
-from lycheetide.node._state import make_index
+from lycheetide.node._state import make_cell_index
 from lycheetide.peers import ConfigRequest, PeerClient, PullReply
 from lycheetide.peers._codec import encode, make_decoder
 from lycheetide.platformlog import LogClient
 from lycheetide.routing import rank_cells
-from lycheetide.scheduling import Cell, Report, Ticket
+from lycheetide.scheduling import Cell, LoadReport, Ticket
 from lycheetide.upstreams import fetch_holdings, fetch_report, make_http_client
-from standins.callers import ask_prompt, make_headers
-from standins.local import LocalFleet, make_forge_works
+from standins.callers import make_headers, send_prompt
+from standins.local import LocalFleet, start_example_fleet
 
 RESULTS = Path(__file__).resolve().parent / "results" / "control.json"
 ROUNDS = 5
@@ -104,15 +104,15 @@
     def report_all():
         clock[0] += 0.01
         for upstream in upstreams:
-            report = Report("b", True, kv_capacity_tokens=400_000)
-            cell.take_report(upstream.name, report, asked_s=clock[0], now_s=clock[0])
+            report = LoadReport("b", True, kv_capacity_tokens=400_000)
+            cell.apply_report(upstream.name, report, asked_s=clock[0], now_s=clock[0])
 
     def decide_one():
         number[0] += 1
         clock[0] += 0.001
         if number[0] % replicas == 0:
             report_all()
-        cell.ask(make_ticket(number[0], clock[0]), now_s=clock[0])
+        cell.enqueue(make_ticket(number[0], clock[0]), now_s=clock[0])
         cell.schedule(now_s=clock[0])
         while len(cell.permits) >= replicas:
             cell.finish(next(iter(cell.permits)))
@@ -140,7 +140,7 @@
 def make_rows(members, cells_per_member):
     """Return the rows that a node sends about the members it knows."""
     return tuple(
-        Row(
+        MemberRow(
             Member(f"entry-{i:03d}", f"{i:016x}", f"10.0.0.{i % 250}:9001", "cork-a"),
             i, "serving", 17, 17, 40_000,
             tuple(
@@ -163,7 +163,7 @@
     record = make_view_record(
         "v", base_number=0, members=[own, *[row.member for row in rows]]
     )
-    membership.take_record(0, record, now_s=0.0)
+    membership.apply_record(0, record, now_s=0.0)
     membership.evidence = {row.member.member_id: Evidence(0.0, row) for row in rows}
     decode = make_decoder(PullReply)
     content = encode(PullReply(rows))
@@ -176,7 +176,7 @@
         encode(PullReply(tuple(own_rows)))
 
     def read():
-        membership.take_rows(decode(content).rows, asked_s=0.5, now_s=0.5)
+        membership.apply_rows(decode(content).rows, asked_s=0.5, now_s=0.5)
 
     return {
         "answer_us": measure_cpu_us(answer, repeats),
@@ -209,7 +209,9 @@
     assert held.version == 1
     return {
         "held_bytes": held_bytes,
-        "index_us": measure_cpu_us(lambda: make_index(state.fleet, "r-0"), repeats),
+        "index_us": measure_cpu_us(
+            lambda: make_cell_index(state.fleet, "r-0"), repeats
+        ),
         "fold_us": measure_cpu_us(lambda: fold(state, 1, change), repeats),
         "record_bytes": len(encode(change)),
     }
@@ -226,7 +228,7 @@
         for i in range(records)
     ] + [(records, make_claim_record(claim))]
     return measure_cpu_us(
-        lambda: decide(rows, claim, birth_offset=0, first_retained=0), 50
+        lambda: resolve_claim(rows, claim, issue_offset=0, first_retained=0), 50
     )
 
 
@@ -302,7 +304,7 @@
         start_s = read_cpu_s(node)
         start_wall_s = time.monotonic()
         for seed in range(60):
-            answer = ask_prompt(node, 1_000, max_tokens=tokens, seed=seed)
+            answer = send_prompt(node, 1_000, max_tokens=tokens, seed=seed)
             assert answer.whole
         wall_s = time.monotonic() - start_wall_s
         costs[tokens] = (read_cpu_s(node) - start_s - idle_share * wall_s) / 60
@@ -349,7 +351,7 @@
     measured = {}
     for nodes in (3, 9):
         with LocalFleet() as fleet:
-            make_forge_works(
+            start_example_fleet(
                 fleet, engines=6, nodes=nodes, decode_s=0.0005,
                 prefill_tokens_per_s=10_000_000.0,
             )  # fmt: skip
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -9,20 +9,20 @@
 import time
 from pathlib import Path
 
-from lycheetide.board import (
-    Board,
+from lycheetide.gossip import (
     Ended,
-    Hello,
+    Heartbeat,
     Job,
-    Part,
+    JobPart,
+    JobTable,
     Started,
     decode_message,
     encode_message,
 )
-from lycheetide.placement import Candidate, Size, choose_prompt
-from lycheetide.relay._place import find_place, list_candidates
-from lycheetide.replicas import Change, Entry, ReplicaTable
-from lycheetide.routes import ANY_ENGINE
+from lycheetide.placement import Candidate, RequestSize, place_prompt
+from lycheetide.relay._selection import find_placement, list_candidates
+from lycheetide.replicas import RegistryChange, RegistryEntry, ReplicaTable
+from lycheetide.routes import DEFAULT_ENGINE
 from standins.large import make_call, make_large_relay
 
 RESULTS = Path(__file__).parent / "results" / "relay.json"
@@ -45,25 +45,27 @@
 
 def measure_messages():
     """Return the cost and the sizes of the messages about one short request."""
-    board = Board()
-    part = Part("i-3c568cd48e", 0.03, 6_000)
+    job_table = JobTable()
+    part = JobPart("i-3c568cd48e", 0.03, 6_000)
 
     def exchange_messages(number):
         job = f"{number:x}"
         started = Started("front-a-1.1ecc477f.f88", job, (part,), 10_000)
         message = decode_message(encode_message(started))
-        board.start(Job(message.job, message.node, message.parts, 0.0, 10.0), now_s=0.0)
+        job_table.start(
+            Job(message.job, message.node, message.parts, 0.0, 10.0), now_s=0.0
+        )
         ended = decode_message(encode_message(Ended(started.node, job)))
-        board.end(ended.node, ended.job, now_s=0.1)
+        job_table.end(ended.node, ended.job, now_s=0.1)
 
     started = Started("front-a-1.1ecc477f.f88", "ff", (part,), 10_000)
-    hello = Hello("10.0.0.1:1", "front-a-1.1ecc477f.f88", "10.0.0.2:7", "a", 1, 2, 0.1,
-                  heard=("i-3c568cd48e",) * 24)  # fmt: skip
+    heartbeat = Heartbeat("10.0.0.1:1", "front-a-1.1ecc477f.f88", "10.0.0.2:7", "a",
+                          1, 2, 0.1, heard=("i-3c568cd48e",) * 24)  # fmt: skip
     return {
         "request_us": measure_cpu_us(exchange_messages),
         "started_bytes": len(encode_message(started)),
         "ended_bytes": len(encode_message(Ended("front-a-1.1ecc477f.f88", "ff"))),
-        "hello_bytes": len(encode_message(hello)),
+        "hello_bytes": len(encode_message(heartbeat)),
     }
 
 
@@ -80,10 +82,14 @@
     candidates = make_candidates(count)
 
     def short(_):
-        choose_prompt(ANY_ENGINE, Size(5_000, 1_000), candidates, target_s=0.3)
+        place_prompt(
+            DEFAULT_ENGINE, RequestSize(5_000, 1_000), candidates, target_s=0.3
+        )
 
     def huge(_):
-        choose_prompt(ANY_ENGINE, Size(133_000, 500), candidates, target_s=2.5)
+        place_prompt(
+            DEFAULT_ENGINE, RequestSize(133_000, 500), candidates, target_s=2.5
+        )
 
     return {
         "short_us": measure_cpu_us(short, 300),
@@ -100,7 +106,7 @@
 
     def choose(call):
         candidates, _ = list_candidates(relay, call)
-        find_place(relay, call, candidates, now_s=time.monotonic())
+        find_placement(relay, call, candidates, now_s=time.monotonic())
 
     short, huge = make_call(5_000), make_call(133_000, target_s=2.5, gap_s=1.0)
     return {
@@ -112,12 +118,12 @@
 def measure_digest(count):
     """Return the cost of a digest of a table with ``count`` replicas."""
     table = ReplicaTable()
-    entries = [Entry(f"r{n}", "m", "10.0.0.1:1", "a", 8, False, 0.0, 1, 1)
+    entries = [RegistryEntry(f"r{n}", "m", "10.0.0.1:1", "a", 8, False, 0.0, 1, 1)
                for n in range(count)]  # fmt: skip
 
     def run(number):
         entry = entries[number % count]
-        table.apply([Change(entry.id, number, entry)], now_s=0.0)
+        table.apply([RegistryChange(entry.id, number, entry)], now_s=0.0)
         table.digest()
 
     return measure_cpu_us(run, 300)
--- a/lycheetide/node/_booking_home.py
+++ b/lycheetide/node/_booking_forwarding.py
@@ -5,15 +5,15 @@
 
 import anyio
 
-from lycheetide.bookings import Claim, KeyStatus, decide
+from lycheetide.bookings import Claim, KeyStatus, resolve_claim
 from lycheetide.node._booking_errors import (
     make_holder_lost_error,
     make_key_reused_error,
 )
 from lycheetide.node._booking_keys import hash_call
 from lycheetide.node._state import BOOKING_STREAM, read_clock
-from lycheetide.outcomes import NotRun, OutcomeUnknown, Reason
-from lycheetide.peers import BookingStatus, PeerUnreached, RunBookingRequest
+from lycheetide.outcomes import NotRunError, OutcomeUnknownError, Reason
+from lycheetide.peers import BookingStatus, PeerUnreachable, RunBookingRequest
 from lycheetide.platformlog import LogUnavailable
 from lycheetide.upstreams import ServiceAnswer
 
@@ -32,7 +32,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     operation : Operation
         The operation to call.
@@ -49,8 +49,8 @@
     Raises
     ------
     RequestError
-        The issuer's error, or ``OutcomeUnknown`` if the issuer is gone and the log has
-        no answer.
+        The issuer's error, or ``OutcomeUnknownError`` if the issuer is gone and the log
+        has no answer.
     """
     member = node.membership.view.find(key.issuer_id)
     if member is None:
@@ -59,7 +59,7 @@
     while member is not None and read_clock() < admitted.deadline_s:
         try:
             reply = await _call_issuer(node, member, admitted, operation, body, key)
-        except PeerUnreached:
+        except PeerUnreachable:
             node.counters.add("bookings.home_unreached")
             await anyio.sleep(POLL_INTERVAL_S)
             if node.membership.view.find(key.issuer_id) is None:
@@ -92,13 +92,13 @@
     """Return the answer recorded on the log; without one, the outcome is unknown."""
     claim = Claim("", key.text, "", body_hash)
     try:
-        batch = await node.log.read_all(BOOKING_STREAM, key.birth_offset)
+        batch = await node.log.read_all(BOOKING_STREAM, key.issue_offset)
     except LogUnavailable:
         raise make_holder_lost_error() from None
-    decision = decide(
+    decision = resolve_claim(
         batch.records,
         claim,
-        birth_offset=key.birth_offset,
+        issue_offset=key.issue_offset,
         first_retained=batch.first_retained,
     )
     if decision.key_status is KeyStatus.RECORDED:
@@ -112,7 +112,9 @@
     """Convert another node's reply to an answer, or raise the error it reports."""
     if reply.status is BookingStatus.ANSWERED:
         return ServiceAnswer(reply.http_status, reply.body)
-    error_type = NotRun if reply.status is BookingStatus.NOT_RUN else OutcomeUnknown
+    error_type = (
+        NotRunError if reply.status is BookingStatus.NOT_RUN else OutcomeUnknownError
+    )
     raise error_type(
         Reason(reply.reason),
         reply.message,
--- a/lycheetide/node/_booking_peers.py
+++ b/lycheetide/node/_booking_handlers.py
@@ -1,12 +1,15 @@
 """Handle calls of other nodes that query or forward bookings."""
 
 from lycheetide.bookings import parse_key
-from lycheetide.node._booking_errors import make_holder_lost_error, refused_with_key
+from lycheetide.node._booking_errors import (
+    make_holder_lost_error,
+    make_refused_key_error,
+)
 from lycheetide.node._bookings import serve_booking
 from lycheetide.node._state import read_clock
-from lycheetide.outcomes import NotRun, Reason, RequestError
+from lycheetide.outcomes import NotRunError, Reason, RequestError
 from lycheetide.peers import BookingReply, BookingStatus
-from lycheetide.routing import Admitted
+from lycheetide.routing import AdmittedRequest
 
 
 async def query_booking(node, request):
@@ -33,7 +36,7 @@
 
 def make_error_reply(error):
     """Convert an error to a reply."""
-    not_run = isinstance(error, NotRun)
+    not_run = isinstance(error, NotRunError)
     return BookingReply(
         BookingStatus.NOT_RUN if not_run else BookingStatus.UNKNOWN,
         http_status=error.status,
@@ -51,14 +54,14 @@
     customer = node.fleet.customers.get(request.customer)
     request_class = node.fleet.classes.get(request.request_class)
     if operation is None or customer is None or request_class is None:
-        error = NotRun(
+        error = NotRunError(
             Reason.NOT_READY,
             "this node's configuration lacks the operation, customer or request class",
             retry_after_s=1.0,
         )
-        return make_error_reply(refused_with_key(error))
+        return make_error_reply(make_refused_key_error(error))
     now_s = read_clock()
-    admitted = Admitted(
+    admitted = AdmittedRequest(
         request.request_id, customer, request_class, now_s,
         now_s + request.left_ms / 1000,
     )  # fmt: skip
--- a/lycheetide/node/_bookings.py
+++ b/lycheetide/node/_bookings.py
@@ -14,27 +14,32 @@
     KeyMode,
     KeyStatus,
     OutcomeRecord,
-    decide,
     make_claim_record,
     make_outcome_record,
     make_release_record,
+    resolve_claim,
 )
 from lycheetide.charts import load_chart
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._booking_errors import (
     RETRY_AFTER_S,
     make_holder_lost_error,
     make_key_reused_error,
     make_log_unavailable_error,
 )
-from lycheetide.node._booking_home import forward_to_issuer
+from lycheetide.node._booking_forwarding import forward_to_issuer
 from lycheetide.node._booking_keys import hash_call
-from lycheetide.node._permits import Wish, get_permit, give_back, may_send
-from lycheetide.node._services import CALL_TOKENS, STALE_PAUSE_S
-from lycheetide.node._state import BOOKING_STREAM, draw_id, read_clock
+from lycheetide.node._lookups import CALL_TOKENS, STALE_PERMIT_DELAY_S
+from lycheetide.node._permits import (
+    PermitSpec,
+    acquire_permit,
+    is_permit_usable,
+    release_permit,
+)
+from lycheetide.node._state import BOOKING_STREAM, generate_id, read_clock
 from lycheetide.outcomes import (
-    NotRun,
-    OutcomeUnknown,
+    NotRunError,
+    OutcomeUnknownError,
     Reason,
     RequestError,
     RetryReason,
@@ -42,17 +47,17 @@
 from lycheetide.peers import (
     BookingQuery,
     BookingStatus,
-    PeerUnreached,
+    PeerUnreachable,
 )
 from lycheetide.platformlog import LogUnavailable
 from lycheetide.routing import RetryDecision, decide_retry
 from lycheetide.upstreams import (
     ServiceAnswer,
     ServiceCall,
-    Silence,
+    SilenceTimer,
     UpstreamError,
     call_service,
-    run_watched,
+    run_until_unneeded,
 )
 
 CHART = load_chart("booking")
@@ -64,7 +69,7 @@
 MAX_KEPT_RUNS = 20_000
 EVICTION_BATCH_SIZE = 1_000
 
-log = get_log("booking")
+log = get_logger("booking")
 
 
 @dataclass
@@ -77,7 +82,7 @@
         The idempotency key.
     body_hash : str
         Hash of the operation and the body.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The first request with this key.
     claim : Claim
         This node's claim on the key.
@@ -115,7 +120,7 @@
 
     def step(self, event):
         """Apply an event to the state chart."""
-        self.state = CHART.step(self.state, event)
+        self.state = CHART.next_state(self.state, event)
 
 
 async def serve_booking(node, admitted, operation, body, key):
@@ -125,7 +130,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     operation : Operation
         The operation to call.
@@ -142,7 +147,7 @@
     Raises
     ------
     RequestError
-        ``NotRun`` only if nothing was or will be sent for this key.
+        ``NotRunError`` only if nothing was or will be sent for this key.
     """
     is_home = key.mode is KeyMode.HOME
     if is_home and key.issuer_id != node.own_id:
@@ -158,12 +163,12 @@
 
 def _may_restart(run):
     """Return whether a run ended with nothing sent, so that the key may run again."""
-    return run.done.is_set() and isinstance(run.error, NotRun)
+    return run.done.is_set() and isinstance(run.error, NotRunError)
 
 
 def _start_run(node, admitted, operation, body, key, body_hash):
     """Start the run of a key in a task that outlives its callers."""
-    claim = Claim(draw_id(), key.text, node.own_id, body_hash)
+    claim = Claim(generate_id(), key.text, node.own_id, body_hash)
     run = BookingRun(key, body_hash, admitted, claim)
     node.bookings[key.text] = run
     node.tasks.start_soon(_run, node, run, operation, body)
@@ -195,12 +200,12 @@
     """
     if run.state == "claimed" and run.waiters == 0:
         run.abandoned = True
-        return NotRun(
+        return NotRunError(
             Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
         )
     if run.state == "new":
         return make_log_unavailable_error()
-    return OutcomeUnknown(
+    return OutcomeUnknownError(
         Reason.DEADLINE,
         "the service did not answer before the deadline; retry with the same key",
         retry_after_s=RETRY_AFTER_S,
@@ -222,13 +227,13 @@
         run.error = error
     except Exception:
         log.exception("A booking failed because of an internal error.")
-        unsent = CHART.has(run.state, "unsent")
+        unsent = CHART.has_flag(run.state, "unsent")
         run.abandoned = True
-        error_type = NotRun if unsent else OutcomeUnknown
+        error_type = NotRunError if unsent else OutcomeUnknownError
         run.error = error_type(Reason.INTERNAL, "an error inside the node", status=500)
     finally:
         run.done.set()
-    if isinstance(run.error, NotRun) or run.state in {"new", "elsewhere"}:
+    if isinstance(run.error, NotRunError) or run.state in {"new", "elsewhere"}:
         node.bookings.pop(run.key.text, None)
     if run.claim_sent and run.state in {"new", "claimed", "elsewhere"}:
         await _release_claim(node, run)
@@ -282,7 +287,7 @@
             return 0
         if key_status is KeyStatus.EXPIRED:
             run.step("lost")
-            raise OutcomeUnknown(
+            raise OutcomeUnknownError(
                 Reason.KEY_EXPIRED,
                 "the log no longer retains the first records of this key",
                 status=410,
@@ -306,7 +311,7 @@
     run.abandoned = True
     if run.state == "new":
         raise make_log_unavailable_error()
-    raise NotRun(
+    raise NotRunError(
         Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
     )
 
@@ -323,20 +328,20 @@
     except LogUnavailable:
         node.counters.add("claims.answer_lost")
     try:
-        batch = await node.log.read_all(BOOKING_STREAM, run.key.birth_offset)
+        batch = await node.log.read_all(BOOKING_STREAM, run.key.issue_offset)
     except LogUnavailable:
         return None
-    if run.key.birth_offset > batch.next_offset:
+    if run.key.issue_offset > batch.next_offset:
         run.step("lost")
-        raise NotRun(
+        raise NotRunError(
             Reason.KEY_AHEAD,
             "the key's issue offset is beyond the end of the log",
             status=400,
         )
-    return decide(
+    return resolve_claim(
         batch.records,
         run.claim,
-        birth_offset=run.key.birth_offset,
+        issue_offset=run.key.issue_offset,
         first_retained=batch.first_retained,
     )
 
@@ -357,7 +362,7 @@
             BookingQuery(holder_id, run.key.text),
             timeout_s=QUERY_TIMEOUT_S,
         )
-    except PeerUnreached:
+    except PeerUnreachable:
         node.counters.add("bookings.holder_unreached")
         return
     if reply.status is BookingStatus.ANSWERED:
@@ -376,19 +381,19 @@
     avoid: list[str] = []
     attempts = 0
     while True:
-        wish = Wish(
+        spec = PermitSpec(
             run.admitted, operation.service, CALL_TOKENS, CALL_TOKENS,
             avoid=tuple(avoid),
         )  # fmt: skip
         with anyio.CancelScope(deadline=run.admitted.deadline_s) as scope:
-            held, asked_s = await get_permit(node, wish)
+            held, asked_s = await acquire_permit(node, spec)
         if scope.cancelled_caught:
             _check_not_abandoned(run)
         try:
-            if not may_send(node, held, asked_s):
+            if not is_permit_usable(node, held, asked_s):
                 node.counters.add_retry(RetryReason.PERMIT_STALE)
-                give_back(node, held)
-                await anyio.sleep(STALE_PAUSE_S)
+                release_permit(node, held)
+                await anyio.sleep(STALE_PERMIT_DELAY_S)
                 continue
             # There is no await between this check and sending, so no caller can be told
             # "not run" in between.
@@ -400,7 +405,7 @@
             avoid.extend(held.permit.replicas)
             _handle_upstream_error(node, run, error, attempts)
         finally:
-            give_back(node, held)
+            release_permit(node, held)
 
 
 async def _send(node, run, held, operation, body, fencing_number):
@@ -418,7 +423,7 @@
         run.admitted.request_id, operation.name, body, run.key.text, fencing_number
     )
     upstream = node.fleet.upstreams[name]
-    silence = Silence()
+    silence = SilenceTimer()
 
     async def work():
         silence.begin(node.settings.silence_s)
@@ -427,19 +432,19 @@
         return answer
 
     async def wait_until_unneeded():
-        while run.waiters or not silence.is_over(now_s=read_clock()):
+        while run.waiters or not silence.has_expired(now_s=read_clock()):
             await anyio.sleep(POLL_INTERVAL_S)
 
-    answer = await run_watched(work, silence, wait_until_unneeded)
+    answer = await run_until_unneeded(work, silence, wait_until_unneeded)
     run.step("answered")
     return answer
 
 
 def _handle_upstream_error(node, run, error, attempts):
     """Raise the error for the caller unless the call may be sent again."""
-    if error.started_maybe:
+    if error.may_have_started:
         run.step("broke")
-        raise OutcomeUnknown(
+        raise OutcomeUnknownError(
             Reason.UPSTREAM_BROKE,
             "the service may have run the call, but its answer was lost",
             status=504,
@@ -448,13 +453,13 @@
     now_s = read_clock()
     decision = decide_retry(
         attempts=attempts,
-        started_maybe=False,
+        may_have_started=False,
         repeatable=False,
         left_s=run.admitted.deadline_s - now_s,
         spend=lambda: node.budgets.spend_retry(run.admitted.customer, now_s=now_s),
     )
     if decision is RetryDecision.GIVE_UP:
-        raise NotRun(
+        raise NotRunError(
             Reason.UPSTREAM_REFUSED,
             str(error),
             retry_after_s=RETRY_AFTER_S,
--- a/lycheetide/node/_door.py
+++ b/lycheetide/node/_caller_api.py
@@ -7,28 +7,28 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from lycheetide.metrics import get_log
-from lycheetide.node._answer import start_answer
-from lycheetide.node._booking_errors import refused_with_key
-from lycheetide.node._booking_keys import issue_key, read_key
+from lycheetide.metrics import get_logger
+from lycheetide.node._answer_stream import start_answer
+from lycheetide.node._booking_errors import make_refused_key_error
+from lycheetide.node._booking_keys import issue_key, validate_key
 from lycheetide.node._bookings import serve_booking
-from lycheetide.node._leaving import (
+from lycheetide.node._disconnects import (
     CallerDisconnected,
     remember_disconnect,
     serve_while_connected,
 )
-from lycheetide.node._life import wait_for_stall_recovery
+from lycheetide.node._lifecycle import wait_for_stall_recovery
+from lycheetide.node._lookups import serve_lookup
 from lycheetide.node._prompts import Prompt, to_request_error
-from lycheetide.node._services import serve_lookup
-from lycheetide.node._state import STALL_RECOVERY_S, draw_id, read_clock
-from lycheetide.outcomes import NotRun, Reason, RequestError
+from lycheetide.node._state import STALL_RECOVERY_S, generate_id, read_clock
+from lycheetide.outcomes import NotRunError, Reason, RequestError
 from lycheetide.routing import (
-    Admitted,
+    AdmittedRequest,
     authenticate,
     check_body_size,
-    count_tokens,
-    find_class,
+    estimate_tokens,
     find_deadline,
+    find_request_class,
 )
 
 DONE_EVENT = b"data: [DONE]\n\n"
@@ -37,7 +37,7 @@
 CLIENT_CLOSED_REQUEST = 499
 """Status of a response to a caller that has disconnected (as nginx uses it)."""
 
-log = get_log("door")
+log = get_logger("door")
 
 
 class PromptBody(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the body is larger.
     """
     content_length = request.headers.get("content-length", "")
@@ -74,7 +74,7 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the node does not accept requests, or a header is invalid.
     """
     now_s = read_clock()
@@ -82,20 +82,20 @@
         node, until_s=now_s + find_recovery_wait_s(request.headers)
     )
     if not node.has_state_flag("accepting"):
-        raise NotRun(
+        raise NotRunError(
             Reason.NOT_READY,
-            f"this node accepts no requests (state {node.life})",
+            f"this node accepts no requests (state {node.lifecycle_state})",
             retry_after_s=1.0,
         )
     headers = request.headers
     customer = authenticate(
         headers.get("authorization", ""), node.fleet.customers.values()
     )
-    request_class = find_class(headers.get("x-class", ""), node.fleet.classes)
+    request_class = find_request_class(headers.get("x-class", ""), node.fleet.classes)
     deadline_s = find_deadline(
         headers.get("x-deadline-ms", ""), request_class, now_s=now_s
     )
-    return Admitted(request_id, customer, request_class, now_s, deadline_s)
+    return AdmittedRequest(request_id, customer, request_class, now_s, deadline_s)
 
 
 def find_recovery_wait_s(headers):
@@ -122,31 +122,31 @@
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the body is invalid; the message names the value and what was expected.
     """
     try:
         parsed = msgspec.json.decode(body, type=PromptBody)
     except msgspec.MsgspecError as error:
-        raise NotRun(Reason.BAD_BODY, str(error), status=400) from None
+        raise NotRunError(Reason.BAD_BODY, str(error), status=400) from None
     model = fleet.models.get(parsed.model)
     if model is None:
         known = ", ".join(sorted(fleet.models)) or "none"
-        raise NotRun(
+        raise NotRunError(
             Reason.UNKNOWN_MODEL,
             f"got model {parsed.model!r}, known are {known}",
             status=404,
         )
     if not 0 < parsed.max_tokens <= MAX_ANSWER_TOKENS:
-        raise NotRun(
+        raise NotRunError(
             Reason.BAD_BODY,
             f"got max_tokens {parsed.max_tokens}, "
             f"expected from 1 to {MAX_ANSWER_TOKENS}",
             status=400,
         )
-    tokens = count_tokens(parsed.prompt)
+    tokens = estimate_tokens(parsed.prompt)
     if tokens > model.max_prompt_tokens:
-        raise NotRun(
+        raise NotRunError(
             Reason.PROMPT_TOO_LONG,
             f"got {tokens} tokens, expected at most {model.max_prompt_tokens}",
             status=413,
@@ -176,7 +176,7 @@
     return described
 
 
-class Door:
+class CallerApi:
     """The HTTP routes that one node serves to callers.
 
     Parameters
@@ -212,7 +212,7 @@
     async def get_readiness(self, request):
         """Readiness probe: tell the load balancer whether to route callers here."""
         ready = self.node.has_state_flag("ready")
-        return JSONResponse({"state": self.node.life}, 200 if ready else 503)
+        return JSONResponse({"state": self.node.lifecycle_state}, 200 if ready else 503)
 
     async def _run_handler(self, request, serve):
         """Run the handler of one request and turn any exception into a response.
@@ -220,7 +220,7 @@
         ``serve`` returns the response and whether the request stays active after it,
         as a streamed one does until its stream has ended.
         """
-        request_id = draw_id()
+        request_id = generate_id()
         node = self.node
         node.counters.add("requests")
         node.active[request_id] = read_clock()
@@ -278,15 +278,15 @@
         node = self.node
         try:
             admitted = await admit(node, request, request_id)
-        except NotRun as refusal:
+        except NotRunError as refusal:
             if not request.headers.get("idempotency-key"):
                 raise
-            raise refused_with_key(refusal) from None
+            raise make_refused_key_error(refusal) from None
         params = request.path_params
         name = f"{params['service']}/{params['operation']}"
         operation = node.fleet.operations.get(name)
         if operation is None:
-            raise NotRun(
+            raise NotRunError(
                 Reason.UNKNOWN_SERVICE, f"got {name!r}, expected a known operation",
                 status=404,
             )  # fmt: skip
@@ -294,12 +294,12 @@
         try:
             msgspec.json.decode(body)
         except msgspec.MsgspecError as error:
-            raise NotRun(Reason.BAD_BODY, str(error), status=400) from None
+            raise NotRunError(Reason.BAD_BODY, str(error), status=400) from None
 
         async def serve():
             if operation.idempotent:
                 return await serve_lookup(node, admitted, operation, body)
-            key = read_key(
+            key = validate_key(
                 request.headers.get("idempotency-key", ""), admitted.customer
             )
             return await serve_booking(node, admitted, operation, body, key)
@@ -322,7 +322,7 @@
         node.note(
             request_id, "The request was admitted.",
             customer=admitted.customer.name, request_class=admitted.request_class.name,
-            tokens=count_tokens(prompt.text),
+            tokens=estimate_tokens(prompt.text),
         )  # fmt: skip
         answer = start_answer(node, admitted, prompt)
         if not parsed.stream:
@@ -349,7 +349,7 @@
             "model": parsed.model,
             "choices": [{"text": "".join(texts), "finish_reason": "length"}],
             "usage": {
-                "prompt_tokens": count_tokens(parsed.prompt),
+                "prompt_tokens": estimate_tokens(parsed.prompt),
                 "completion_tokens": len(texts),
             },
         }
--- a/lycheetide/node/_members.py
+++ b/lycheetide/node/_heartbeats.py
@@ -5,9 +5,9 @@
 import anyio
 
 from lycheetide.membership import make_view_record
-from lycheetide.metrics import get_log
-from lycheetide.node._state import draw_id, read_clock
-from lycheetide.peers import PeerUnreached, PullReply, PullRequest
+from lycheetide.metrics import get_logger
+from lycheetide.node._state import generate_id, read_clock
+from lycheetide.peers import PeerUnreachable, PullReply, PullRequest
 from lycheetide.platformlog import LogUnavailable
 
 PULL_TIMEOUT_S = 1.0
@@ -19,7 +19,7 @@
 new view come first if the log can accept one, and keeps a busy host from being taken
 for a dead one. A member stays deposed until the log is back."""
 
-log = get_log("member")
+log = get_logger("member")
 
 
 def make_own_rows(node, now_s):
@@ -27,7 +27,7 @@
     cells = [owned.cell.summarize(now_s=now_s) for owned in node.cells.values()]
     return tuple(
         node.membership.make_rows(
-            state=node.life,
+            state=node.lifecycle_state,
             config_version=node.config.version,
             cells=cells,
             now_s=now_s,
@@ -71,7 +71,7 @@
     generator = random_state or random.Random()
     async with anyio.create_task_group() as group:
         while True:
-            node.membership.deputies.note_awake(now_s=read_clock())
+            node.membership.failover.record_poll(now_s=read_clock())
             addresses = list_peer_addresses(node)
             fanout = min(node.settings.heartbeat_fanout, len(addresses))
             for address in generator.sample(addresses, fanout):
@@ -91,16 +91,16 @@
         reply = await node.peers.call(
             address, "pull", PullRequest(own_row), timeout_s=timeout_s
         )
-    except PeerUnreached:
+    except PeerUnreachable:
         node.counters.add("heartbeats.unanswered")
         return
     now_s = read_clock()
-    if reply.view is not None and node.membership.take_view(reply.view, now_s=now_s):
+    if reply.view is not None and node.membership.apply_view(reply.view, now_s=now_s):
         on_change()
     rows = [row for row in reply.rows if row.member.member_id != node.own_id]
-    out = node.membership.deputies.out
-    node.membership.take_rows(rows, asked_s=asked_s, now_s=now_s)
-    if node.membership.deputies.out != out:
+    out = node.membership.failover.out
+    node.membership.apply_rows(rows, asked_s=asked_s, now_s=now_s)
+    if node.membership.failover.out != out:
         on_change()
 
 
@@ -117,19 +117,23 @@
     while True:
         await anyio.sleep(PROPOSE_INTERVAL_S)
         now_s = read_clock()
-        if now_s - node.log_asked_s > DEPOSE_LOG_AGE_S:
+        if now_s - node.log_read_started_s > DEPOSE_LOG_AGE_S:
             node.membership.depose_silent(
                 now_s=now_s, silent_s=node.settings.suspect_s + DEPOSE_EXTRA_SILENCE_S
             )
-        out = node.membership.deputies.out
-        node.membership.settle(now_s=now_s)
-        if node.membership.deputies.out != out:
+        out = node.membership.failover.out
+        node.membership.update_settled_view(now_s=now_s)
+        if node.membership.failover.out != out:
             on_change()
         view = node.membership.view
-        members = node.membership.propose(node.hosts, own_state=node.life, now_s=now_s)
+        members = node.membership.propose(
+            node.hosts, own_state=node.lifecycle_state, now_s=now_s
+        )
         if members is None:
             continue
-        record = make_view_record(draw_id(), base_number=view.number, members=members)
+        record = make_view_record(
+            generate_id(), base_number=view.number, members=members
+        )
         try:
             await node.log.append(node.view_stream, [record])
             node.counters.add("views.proposed")
--- a/lycheetide/node/_life.py
+++ b/lycheetide/node/_lifecycle.py
@@ -2,13 +2,13 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._state import read_clock
 
 LIFECYCLE_INTERVAL_S = 0.1
 RECOVERY_POLL_S = 0.02
 
-log = get_log("node")
+log = get_logger("node")
 
 
 def update_lifecycle(node, *, now_s):
@@ -24,12 +24,12 @@
     log.info(
         "The node's state changed.",
         extra={
-            "state": node.life,
-            "log_age_ms": round((now_s - node.log_asked_s) * 1e3),
+            "state": node.lifecycle_state,
+            "log_age_ms": round((now_s - node.log_read_started_s) * 1e3),
             "is_majority_heard": node.membership.is_majority_heard(now_s=now_s),
         },
     )
-    node.counters.add(f"node.{node.life}")
+    node.counters.add(f"node.{node.lifecycle_state}")
 
 
 async def keep_life(node):
--- a/lycheetide/node/_tail.py
+++ b/lycheetide/node/_log_followers.py
@@ -2,17 +2,17 @@
 
 import anyio
 
-from lycheetide.fleet import fold, make_snapshot_record, restore
-from lycheetide.fleet._fold import begin
+from lycheetide.fleet import fold, make_snapshot_record, restore_snapshot
+from lycheetide.fleet._fold import find_start_state
 from lycheetide.membership import make_view_snapshot_record
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._state import (
     BOOKING_STREAM,
     CONFIG_STREAM,
     MAX_VERDICTS,
     read_clock,
 )
-from lycheetide.peers import ConfigReply, ConfigRequest, PeerUnreached
+from lycheetide.peers import ConfigReply, ConfigRequest, PeerUnreachable
 from lycheetide.platformlog import LogUnavailable, read_hosts
 
 RETRY_DELAY_S = 0.2
@@ -20,8 +20,8 @@
 LOG_HEAD_INTERVAL_S = 2.0
 PEER_CONFIG_TIMEOUT_S = 1.0
 
-config_log = get_log("config")
-member_log = get_log("member")
+config_log = get_logger("config")
+member_log = get_logger("member")
 
 
 async def follow_config(node, on_change):
@@ -51,7 +51,7 @@
             node.counters.add("log.unavailable")
             await anyio.sleep(RETRY_DELAY_S)
             continue
-        state = begin(batch.records, batch.first_retained, node.config)
+        state = find_start_state(batch.records, batch.first_retained, node.config)
         if state is None:
             config_log.error(
                 "The log has a gap that no snapshot covers.",
@@ -61,7 +61,7 @@
             await anyio.sleep(RETRY_DELAY_S)
             continue
         _fold_batch(node, state, batch, on_change)
-        node.log_asked_s = max(node.log_asked_s, asked_s)
+        node.log_read_started_s = max(node.log_read_started_s, asked_s)
         on_change()
 
 
@@ -102,7 +102,7 @@
 
 def _record_new_version(node):
     """Log and count a new configuration version, and set ``config_changed``."""
-    node.config_since_s = read_clock()
+    node.config_changed_s = read_clock()
     node.counters.add("config.changed")
     config_log.info(
         "A configuration is in force.", extra={"version": node.config.version}
@@ -119,7 +119,7 @@
     """
     while True:
         await anyio.sleep(node.settings.heartbeat_interval_s)
-        version, member = node.membership.newest_config()
+        version, member = node.membership.find_newest_config()
         if version <= node.config.version or member is None:
             continue
         try:
@@ -129,11 +129,11 @@
                 ConfigRequest(node.config.version),
                 timeout_s=PEER_CONFIG_TIMEOUT_S,
             )
-        except PeerUnreached:
+        except PeerUnreachable:
             continue
         if reply.snapshot is None:
             continue
-        state = restore(reply.snapshot)
+        state = restore_snapshot(reply.snapshot)
         if state.version > node.config.version:
             node.config = state
             node.counters.add("config.from_peer")
@@ -141,7 +141,7 @@
             on_change()
 
 
-def give_config(node):
+def make_config_handler(node):
     """Return the handler that sends this node's configuration to a peer."""
 
     async def fetch_config(request):
@@ -167,7 +167,7 @@
         changed = False
         for position, record in batch.records:
             offset = position + 1
-            if node.membership.take_record(position, record, now_s=now_s):
+            if node.membership.apply_record(position, record, now_s=now_s):
                 changed = True
         if changed:
             hosts = [member.host for member in node.membership.view.members]
--- a/lycheetide/node/_permits.py
+++ b/lycheetide/node/_permits.py
@@ -7,16 +7,16 @@
 
 import anyio
 
-from lycheetide.node import _owner
-from lycheetide.node._state import HeldPermit, draw_id, read_clock
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.node import _cell_owner
+from lycheetide.node._state import HeldPermit, generate_id, read_clock
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.peers import (
     AcquireRequest,
     AcquireStatus,
     AdoptRequest,
     FinishRequest,
     MetRequest,
-    PeerUnreached,
+    PeerUnreachable,
     RenewRequest,
 )
 from lycheetide.routing import check_dispatch, rank_cells
@@ -24,7 +24,7 @@
 
 ROUND_TRIP_MARGIN_S = 0.5
 CALL_TIMEOUT_S = 1.0
-ACQUIRE_TIMEOUT_S = _owner.LONG_POLL_S + ROUND_TRIP_MARGIN_S
+ACQUIRE_TIMEOUT_S = _cell_owner.LONG_POLL_S + ROUND_TRIP_MARGIN_S
 """An owner may hold the call for ``LONG_POLL_S``; the margin is for the round trip."""
 RETRY_DELAY_S = 0.05
 REFUSED_RETRY_DELAY_S = 0.5
@@ -34,12 +34,12 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class PermitSpec:
     """Description of the permit that a request needs.
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The admitted request.
     serves : str
         The model or service that a replica must serve.
@@ -74,7 +74,7 @@
     return summaries
 
 
-async def get_permit(node, spec):
+async def acquire_permit(node, spec):
     """Acquire a permit; keep asking until one is granted or all owners refuse.
 
     A refusal would cut off an answer that has begun, and its caller could not resume
@@ -84,26 +84,26 @@
     ----------
     node : NodeState
         This node.
-    spec : Wish
+    spec : PermitSpec
         The permit that is needed.
 
     Returns
     -------
     permit : HeldPermit
-        The permit, registered for renewal; end it with ``give_back``.
+        The permit, registered for renewal; end it with ``release_permit``.
     asked_s : float
         When the call that brought it was sent. The permit expires a short time after
         that unless it is used.
 
     Raises
     ------
-    NotRun
+    NotRunError
         If the owners of all cells refuse, or the class's longest wait is over.
     """
     while True:
         try:
             return await _acquire_from_any_cell(node, spec)
-        except NotRun as refusal:
+        except NotRunError as refusal:
             if not spec.is_begun:
                 raise
             node.counters.add(f"permits.refused_begun.{refusal.reason}")
@@ -115,11 +115,11 @@
     admitted = spec.admitted
     cells = node.get_cell_index().cells_by_served.get(spec.serves, ())
     if not cells:
-        raise NotRun(
+        raise NotRunError(
             Reason.NO_CAPACITY, f"no replica serves {spec.serves}", retry_after_s=5.0
         )
-    ticket_ids = {cell: f"{draw_id()}@{cell}" for cell in cells}
-    refusals: dict[str, NotRun] = {}
+    ticket_ids = {cell: f"{generate_id()}@{cell}" for cell in cells}
+    refusals: dict[str, NotRunError] = {}
     started_s = read_clock()
     for turn in itertools.count():
         now_s = read_clock()
@@ -134,13 +134,13 @@
             raise min(refusals.values(), key=lambda r: r.retry_after_s or 0.0)
         cell = ranked[turn % len(ranked)]
         result = await _acquire_from_cell(node, spec, cell, ticket_ids[cell], started_s)
-        if isinstance(result, NotRun):
+        if isinstance(result, NotRunError):
             refusals[cell] = result
         elif result is not None:
             return result
         waited_s = read_clock() - admitted.arrived_s
         if waited_s > admitted.request_class.max_wait_s:
-            raise NotRun(
+            raise NotRunError(
                 Reason.OVERLOADED,
                 f"no replica became free within {waited_s:.1f} s",
                 retry_after_s=OVERLOADED_RETRY_AFTER_S,
@@ -153,7 +153,7 @@
 
     Returns
     -------
-    (HeldPermit, float), NotRun or None
+    (HeldPermit, float), NotRunError or None
         The permit and the time of the call that brought it, the refusal, or None if
         another cell should be asked.
     """
@@ -173,7 +173,7 @@
                 request,
                 timeout_s=ACQUIRE_TIMEOUT_S,
             )
-        except PeerUnreached:
+        except PeerUnreachable:
             node.counters.add("permits.owner_unreached")
             node.tasks.start_soon(withdraw, node, cell, ticket_id)
             await anyio.sleep(RETRY_DELAY_S)
@@ -195,7 +195,7 @@
                 admitted.request_id, "A cell refused the request.",
                 cell=cell, owner=owner.host, reason=reply.reason,
             )  # fmt: skip
-            return NotRun(
+            return NotRunError(
                 Reason(reply.reason),
                 reply.message,
                 retry_after_s=reply.retry_after_ms / 1000,
@@ -230,11 +230,11 @@
 
 
 LOCAL_HANDLERS = {
-    "acquire": _owner.acquire,
-    "met": _owner.note_met,
-    "adopt": _owner.adopt,
-    "finish": _owner.finish,
-    "renew": _owner.renew,
+    "acquire": _cell_owner.acquire,
+    "met": _cell_owner.record_acceptance,
+    "adopt": _cell_owner.adopt,
+    "finish": _cell_owner.finish,
+    "renew": _cell_owner.renew,
 }
 """Handlers of the owner's calls, used directly if this node is the owner."""
 
@@ -244,7 +244,7 @@
 
     Raises
     ------
-    PeerUnreached
+    PeerUnreachable
         If another node does not answer in time.
     """
     if owner == node.own:
@@ -285,10 +285,10 @@
     return held
 
 
-def may_send(node, held, asked_s):
+def is_permit_usable(node, held, asked_s):
     """Check, right before dispatch, whether a permit may still be used.
 
-    False if it may not be used now but another one may be acquired; ``NotRun`` is
+    False if it may not be used now but another one may be acquired; ``NotRunError`` is
     raised if this node can't know the configuration in force.
     """
     now_s = read_clock()
@@ -316,7 +316,7 @@
         node.tasks.start_soon(_tell_owner, node, "met", request)
 
 
-def give_back(node, held, *, broken=()):
+def release_permit(node, held, *, broken=()):
     """End a permit.
 
     The call to the owner runs in the background. If it is lost, the owner ends the
@@ -357,7 +357,7 @@
         return
     try:
         await _call_owner(node, owner, name, request)
-    except PeerUnreached:
+    except PeerUnreachable:
         node.counters.add(f"permits.{name}_lost")
 
 
@@ -381,7 +381,7 @@
     request = RenewRequest(cell, permit_ids)
     try:
         reply = await _call_owner(node, owner, "renew", request)
-    except PeerUnreached:
+    except PeerUnreachable:
         return
     permits = tuple(
         node.permits[permit_id].permit
@@ -393,5 +393,5 @@
     node.counters.add("permits.reported_again", len(permits))
     try:
         await _call_owner(node, owner, "adopt", AdoptRequest(cell, permits))
-    except PeerUnreached:
+    except PeerUnreachable:
         return
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -7,60 +7,60 @@
 import anyio
 
 from lycheetide.charts import load_chart
-from lycheetide.metrics import get_log
+from lycheetide.metrics import get_logger
 from lycheetide.node._permits import (
-    Wish,
-    get_permit,
-    give_back,
-    may_send,
+    PermitSpec,
+    acquire_permit,
+    is_permit_usable,
+    release_permit,
     report_acceptance,
 )
-from lycheetide.node._state import draw_id
+from lycheetide.node._state import generate_id
 from lycheetide.node._successors import (
-    decide_next,
+    acquire_successor,
+    decide_next_attempt,
     find_retry_reason,
-    give_back_successor,
-    seek_successor,
-    take_successor,
+    pop_successor,
+    release_successor,
 )
 from lycheetide.outcomes import (
-    Failed,
-    NotRun,
+    NotRunError,
     Reason,
     RequestError,
+    RequestFailedError,
     RetryReason,
 )
 from lycheetide.routing import (
     RetryDecision,
-    count_tokens,
+    estimate_tokens,
     make_prefix_key,
     split_prompt,
 )
 from lycheetide.streams import ChunkVerdict, StreamCheck, check_chunk
 from lycheetide.upstreams import (
     EngineCall,
-    Silence,
-    UpstreamBroke,
+    SilenceTimer,
+    UpstreamBrokenError,
+    UpstreamConnectError,
     UpstreamError,
-    UpstreamRefused,
-    UpstreamUnreached,
+    UpstreamRefusedError,
     release_holding,
     reserve_memory,
-    run_watched,
+    run_until_unneeded,
     send_segment,
     stream_answer,
 )
 
 CHART = load_chart("request")
 RETRY_AFTER_S = 1.0
-STALE_PAUSE_S = 0.05
+STALE_PERMIT_DELAY_S = 0.05
 PREFILL_TIMEOUT_FACTOR = 4.0
 """Limit on the time to first token, as a multiple of the expected prefill time.
 
 The setting ``silence_s`` is added to it.
 """
 
-log = get_log("prompt")
+log = get_logger("prompt")
 
 
 @dataclass(frozen=True)
@@ -78,13 +78,13 @@
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The admitted request.
     prompt : Prompt
         The prompt.
     lifecycle_state : str
         State in the request chart (``charts/request.toml``).
-    ever_started : bool
+    may_have_started : bool
         Whether any upstream may have started to execute the request.
     check : StreamCheck
         Sequence check of the answer, which holds the next expected token.
@@ -92,26 +92,26 @@
         Number of attempts that have failed so far.
     avoid : list of str
         Replicas on which an attempt broke.
-    silence : Silence
+    silence : SilenceTimer
         Silence timer of the current attempt's upstreams.
     successor : (HeldPermit, float) or None
-        Permit for the next attempt, as ``get_permit`` returns it, if the current
+        Permit for the next attempt, as ``acquire_permit`` returns it, if the current
         attempt was ended in favour of that one.
     """
 
     admitted: Any
     prompt: Prompt
     lifecycle_state: str = CHART.initial
-    ever_started: bool = False
+    may_have_started: bool = False
     check: StreamCheck = field(default_factory=lambda: StreamCheck(""))
     attempts: int = 0
     avoid: list[str] = field(default_factory=list)
-    silence: Silence = field(default_factory=Silence)
+    silence: SilenceTimer = field(default_factory=SilenceTimer)
     successor: Any = None
 
     def step(self, event):
         """Apply an event to the lifecycle state."""
-        self.lifecycle_state = CHART.step(self.lifecycle_state, event)
+        self.lifecycle_state = CHART.next_state(self.lifecycle_state, event)
 
 
 @dataclass(frozen=True)
@@ -129,7 +129,7 @@
     ----------
     node : NodeState
         This node.
-    admitted : Admitted
+    admitted : AdmittedRequest
         The admitted request.
     prompt : Prompt
         The prompt.
@@ -139,7 +139,8 @@
     Raises
     ------
     RequestError
-        ``NotRun`` if no upstream can have started the request, else ``Failed``.
+        ``NotRunError`` if no upstream can have started the request, else
+        ``RequestFailedError``.
     """
     run = PromptRun(admitted, prompt)
     run.step("admitted")
@@ -148,16 +149,16 @@
             try:
                 await _attempt_until_done(node, run, emit)
             finally:
-                give_back_successor(node, run)
+                release_successor(node, run)
         if scope.cancelled_caught:
-            raise NotRun(
+            raise NotRunError(
                 Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
             )
-    except NotRun as error:
+    except NotRunError as error:
         run.step("gave_up")
-        if not run.ever_started:
+        if not run.may_have_started:
             raise
-        raise Failed(
+        raise RequestFailedError(
             error.reason, error.message, retry_after_s=error.retry_after_s
         ) from error
     run.step("answered")
@@ -166,37 +167,37 @@
 async def _attempt_until_done(node, run, emit):
     """Make attempts until one delivers the rest of the answer."""
     while True:
-        held, asked_s = take_successor(run) or await get_permit(
+        held, asked_s = pop_successor(run) or await acquire_permit(
             node, _make_permit_spec(run)
         )
         run.step("granted")
         replicas = held.permit.replicas
         broken = ()
         try:
-            if not may_send(node, held, asked_s):
+            if not is_permit_usable(node, held, asked_s):
                 run.step("permit_stale")
                 node.counters.add_retry(RetryReason.PERMIT_STALE)
-                give_back(node, held)
-                await anyio.sleep(STALE_PAUSE_S)
+                release_permit(node, held)
+                await anyio.sleep(STALE_PERMIT_DELAY_S)
                 continue
             await _send_until_replaced(node, run, held, emit)
             return
         except UpstreamError as error:
-            if not isinstance(error, UpstreamRefused):
+            if not isinstance(error, UpstreamRefusedError):
                 broken = replicas
             _prepare_retry(node, run, replicas, error)
         finally:
-            give_back(node, held, broken=broken)
+            release_permit(node, held, broken=broken)
 
 
 def _make_permit_spec(run):
     """Return the description of the permit that the next attempt needs."""
     prompt = run.prompt
     admitted = run.admitted
-    return Wish(
+    return PermitSpec(
         admitted=admitted,
         serves=prompt.model,
-        prompt_tokens=count_tokens(prompt.text),
+        prompt_tokens=estimate_tokens(prompt.text),
         answer_tokens=prompt.max_tokens,
         prefix_key=make_prefix_key(admitted.customer.name, prompt.model, prompt.text),
         avoid=tuple(run.avoid),
@@ -206,23 +207,23 @@
 
 def _prepare_retry(node, run, replicas, error):
     """Prepare another attempt after ``error``, or raise if none is allowed."""
-    run.ever_started = run.ever_started or error.started_maybe
+    run.may_have_started = run.may_have_started or error.may_have_started
     run.attempts += 1
-    decision = decide_next(node, run, error)
+    decision = decide_next_attempt(node, run, error)
     reason = find_retry_reason(error)
     node.note(
         run.admitted.request_id, "An attempt ended with an upstream error.",
         reason=reason, cause=str(error), decision=decision, replicas=list(replicas),
     )  # fmt: skip
     if decision is RetryDecision.GIVE_UP:
-        error_type = Failed if run.ever_started else NotRun
+        error_type = RequestFailedError if run.may_have_started else NotRunError
         raise error_type(
             _find_reason(error), str(error), retry_after_s=RETRY_AFTER_S, status=502
         ) from error
     node.counters.add_retry(reason)
-    if not isinstance(error, UpstreamRefused):
+    if not isinstance(error, UpstreamRefusedError):
         run.avoid.extend(replicas)
-    if CHART.has(run.lifecycle_state, "unsent"):
+    if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("permit_stale")
     else:
         run.step("broke")
@@ -230,22 +231,22 @@
 
 def _find_reason(error):
     """Return the reason that is reported to the caller for ``error``."""
-    if isinstance(error, (UpstreamRefused, UpstreamUnreached)):
+    if isinstance(error, (UpstreamRefusedError, UpstreamConnectError)):
         return Reason.UPSTREAM_REFUSED
     return Reason.UPSTREAM_BROKE
 
 
 async def _send_until_replaced(node, run, held, emit):
     """Send one attempt; if it falls silent, end it only once it has a successor."""
-    run.silence = Silence()
+    run.silence = SilenceTimer()
 
     async def seek():
-        run.successor = await seek_successor(
+        run.successor = await acquire_successor(
             node, _make_permit_spec(run), held.permit.replicas, run.silence,
             attempts=run.attempts + 1,
         )  # fmt: skip
 
-    await run_watched(lambda: _send(node, run, held, emit), run.silence, seek)
+    await run_until_unneeded(lambda: _send(node, run, held, emit), run.silence, seek)
 
 
 async def _send(node, run, held, emit):
@@ -255,7 +256,7 @@
     """
     permit = held.permit
     upstreams = [node.fleet.upstreams[name] for name in permit.replicas]
-    attempt_id = draw_id()
+    attempt_id = generate_id()
     run.check = StreamCheck(attempt_id, run.check.next_seq)
     holdings: list[tuple[Any, str]] = []
     try:
@@ -346,9 +347,9 @@
         except UpstreamError as error:
             errors.append(error)
 
-    if CHART.has(run.lifecycle_state, "unsent"):
+    if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("dispatched")
-    run.ever_started = True
+    run.may_have_started = True
     async with anyio.create_task_group() as group:
         for index in range(len(handles)):
             group.start_soon(read, index)
@@ -359,7 +360,7 @@
 
 def _find_read_timeout_s(node, upstream, text):
     """Return how long a text's prefill may take before the engine counts as silent."""
-    read_s = count_tokens(text) / upstream.prefill_tokens_per_s
+    read_s = estimate_tokens(text) / upstream.prefill_tokens_per_s
     return node.settings.silence_s + PREFILL_TIMEOUT_FACTOR * read_s
 
 
@@ -380,7 +381,7 @@
         if holding_id and all(held != holding_id for _, held in holdings):
             holdings.append((upstream, holding_id))
 
-    if CHART.has(run.lifecycle_state, "unsent"):
+    if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("dispatched")
     node.note(
         admitted.request_id, "An attempt was sent.",
@@ -406,16 +407,16 @@
                 if run.lifecycle_state == "sent":
                     run.step("first_token")
                 await emit(Token(chunk.seq, chunk.text))
-    except UpstreamUnreached:
+    except UpstreamConnectError:
         raise
     except UpstreamError as error:
-        run.ever_started = run.ever_started or error.started_maybe
+        run.may_have_started = run.may_have_started or error.may_have_started
         raise
     except BaseException:
-        run.ever_started = True
+        run.may_have_started = True
         raise
     if not whole:
-        raise UpstreamBroke("the answer ended without an end marker")
+        raise UpstreamBrokenError("the answer ended without an end marker")
 
 
 async def check_chunks(node, run, chunks):
@@ -432,7 +433,7 @@
 
     Raises
     ------
-    UpstreamBroke
+    UpstreamBrokenError
         If a token is missing, or the end marker does not follow the last token.
     """
     async for chunk in chunks:
@@ -444,7 +445,7 @@
             return
         elif verdict in (ChunkVerdict.GAP, ChunkVerdict.SHORT):
             node.counters.add(f"chunks.{verdict}")
-            raise UpstreamBroke(f"{verdict}: got token {chunk.seq}, "
+            raise UpstreamBrokenError(f"{verdict}: got token {chunk.seq}, "
                                 f"expected {run.check.next_seq}")  # fmt: skip
         else:
             node.counters.add(f"chunks.{verdict}")
@@ -454,4 +455,4 @@
     """Return the ``RequestError`` for any exception that a run raised."""
     if isinstance(error, RequestError):
         return error
-    return Failed(Reason.INTERNAL, "an error inside the node", status=500)
+    return RequestFailedError(Reason.INTERNAL, "an error inside the node", status=500)
--- a/lycheetide/node/_watch.py
+++ b/lycheetide/node/_replica_monitor.py
@@ -4,14 +4,14 @@
 
 import anyio
 
-from lycheetide.metrics import get_log
-from lycheetide.node._owner import run_schedule
+from lycheetide.metrics import get_logger
+from lycheetide.node._cell_owner import run_schedule
 from lycheetide.node._state import read_clock
 from lycheetide.scheduling import find_orphans
 from lycheetide.upstreams import (
     UpstreamError,
+    fetch_boot_id_and_holdings,
     fetch_holdings,
-    fetch_life,
     fetch_report,
     release_holding,
 )
@@ -26,8 +26,8 @@
 LOST_CALL_GRACE_S = 60.0
 """How long after its deadline a lost call to a service still counts."""
 
-owner_log = get_log("owner")
-reclaim_log = get_log("reclaim")
+owner_log = get_logger("owner")
+reclaim_log = get_logger("reclaim")
 
 
 async def poll_reports(node):
@@ -53,7 +53,7 @@
         if owned.cell.replicas.get(name) == replica or _is_report_stale(
             node, owned, name
         ):
-            owned.cell.take_silence(name)
+            owned.cell.mark_silent(name)
         owner_log.debug(
             "A replica did not answer the load poll.",
             extra={"upstream": name, "cause": str(error)},
@@ -64,7 +64,7 @@
         # report doesn't tell which were accepted; `probe_replica` asks for that.
         report = replace(report, met=frozenset())
     before = owned.cell.replicas.get(name)
-    owned.cell.take_report(name, report, asked_s=asked_s, now_s=read_clock())
+    owned.cell.apply_report(name, report, asked_s=asked_s, now_s=read_clock())
     after = owned.cell.replicas.get(name)
     if (
         before
@@ -102,12 +102,16 @@
         return
     asked_s = read_clock()
     try:
-        boot_id, holdings = await fetch_life(node.http, replica.upstream)
+        boot_id, holdings = await fetch_boot_id_and_holdings(
+            node.http, replica.upstream
+        )
     except UpstreamError:
         # A silent replica is detected by its load poll, not here.
         return
     request_ids = {holding.request_id for holding in holdings}
-    if not owned.cell.take_met(name, boot_id, request_ids, asked_s=asked_s):
+    if not owned.cell.record_accepted_requests(
+        name, boot_id, request_ids, asked_s=asked_s
+    ):
         await poll_replica(node, owned, name)
         return
     run_schedule(node, owned)
@@ -118,7 +122,7 @@
     replica = owned.cell.replicas.get(name)
     if replica is None:
         return False
-    return read_clock() - replica.proved_s > node.settings.report_stale_s
+    return read_clock() - replica.report_asked_s > node.settings.report_stale_s
 
 
 async def prove_replicas(node):
@@ -128,7 +132,7 @@
             await anyio.sleep(PROBE_CHECK_INTERVAL_S)
             now_s = read_clock()
             for owned in list(node.cells.values()):
-                for name in owned.cell.find_unproved():
+                for name in owned.cell.find_unconfirmed():
                     last_s = owned.probe_sent_s.get(name, 0.0)
                     if now_s - last_s >= find_probe_interval_s(owned, name):
                         owned.probe_sent_s[name] = now_s
@@ -174,7 +178,7 @@
     orphans.extend(h for h in holdings if h.request_id in lost - alive)
     for orphan in orphans:
         await _release(node, upstream, orphan)
-    owned.cell.end_lost(name, {holding.request_id for holding in holdings})
+    owned.cell.release_lost_permits(name, {holding.request_id for holding in holdings})
     run_schedule(node, owned)
 
 
--- a/lycheetide/node/_successors.py
+++ b/lycheetide/node/_successors.py
@@ -5,16 +5,16 @@
 import anyio
 
 from lycheetide.fleet import takes_new_work
-from lycheetide.node._permits import get_permit, give_back, may_send
+from lycheetide.node._permits import acquire_permit, is_permit_usable, release_permit
 from lycheetide.node._state import read_clock
-from lycheetide.outcomes import NotRun, RetryReason
+from lycheetide.outcomes import NotRunError, RetryReason
 from lycheetide.routing import RetryDecision, decide_retry
-from lycheetide.upstreams import UpstreamRefused, UpstreamSilent
+from lycheetide.upstreams import UpstreamRefusedError, UpstreamTimeoutError
 
 SEEK_AGAIN_S = 0.5
 
 
-async def seek_successor(node, spec, silent, silence, *, attempts):
+async def acquire_successor(node, spec, silent, silence, *, attempts):
     """Wait until a request can move to another replica, and spend a retry on it.
 
     The retry is taken from the customer's budget last, so that none is lost if no
@@ -24,11 +24,11 @@
     ----------
     node : NodeState
         This node.
-    spec : Wish
+    spec : PermitSpec
         The permit that the request needs.
     silent : tuple of str
         Replicas of the current attempt.
-    silence : Silence
+    silence : SilenceTimer
         Their silence timer.
     attempts : int
         Number of attempts, including the current one.
@@ -36,7 +36,7 @@
     Returns
     -------
     permit : HeldPermit
-        The permit, as ``get_permit`` returns it.
+        The permit, as ``acquire_permit`` returns it.
     asked_s : float
         When the call that brought it was sent.
     """
@@ -54,18 +54,18 @@
                 # ``is_begun=False`` makes a refusal end the call, so that the other
                 # replicas and the budget are checked again.
                 next_spec = replace(spec, avoid=avoid, is_begun=False)
-                held, asked_s = await get_permit(node, next_spec)
-            except NotRun:
+                held, asked_s = await acquire_permit(node, next_spec)
+            except NotRunError:
                 pass
             else:
                 if (
-                    silence.is_over(now_s=read_clock())
+                    silence.has_expired(now_s=read_clock())
                     and not set(held.permit.replicas) & set(silent)
                     and _can_send(node, held, asked_s)
                     and _can_retry(node, spec, attempts, node.budgets.spend_retry)
                 ):
                     return held, asked_s
-                give_back(node, held)
+                release_permit(node, held)
         await anyio.sleep(SEEK_AGAIN_S)
 
 
@@ -84,8 +84,8 @@
 def _can_send(node, held, asked_s):
     """Return whether the permit may be used; False also while the node is cut off."""
     try:
-        return may_send(node, held, asked_s)
-    except NotRun:
+        return is_permit_usable(node, held, asked_s)
+    except NotRunError:
         return False
 
 
@@ -98,7 +98,7 @@
     now_s = read_clock()
     decision = decide_retry(
         attempts=attempts,
-        started_maybe=True,
+        may_have_started=True,
         repeatable=True,
         left_s=admitted.deadline_s - now_s,
         spend=lambda: spend(admitted.customer, now_s=now_s),
@@ -106,27 +106,27 @@
     return decision is RetryDecision.RETRY
 
 
-def take_successor(run):
+def pop_successor(run):
     """Remove and return the permit for a run's next attempt, or return None."""
     successor, run.successor = run.successor, None
     return successor
 
 
-def give_back_successor(node, run):
+def release_successor(node, run):
     """End the permit for a next attempt that will not be made."""
-    successor = take_successor(run)
+    successor = pop_successor(run)
     if successor is not None:
-        give_back(node, successor[0])
+        release_permit(node, successor[0])
 
 
-def decide_next(node, run, error):
+def decide_next_attempt(node, run, error):
     """Decide on another attempt; if a successor has its permit, its retry is spent."""
     if run.successor is not None:
         return RetryDecision.RETRY
     now_s = read_clock()
     return decide_retry(
         attempts=run.attempts,
-        started_maybe=error.started_maybe,
+        may_have_started=error.may_have_started,
         repeatable=True,
         left_s=run.admitted.deadline_s - now_s,
         spend=lambda: node.budgets.spend_retry(run.admitted.customer, now_s=now_s),
@@ -135,8 +135,8 @@
 
 def find_retry_reason(error):
     """Return the reason under which a retry after ``error`` is counted."""
-    if isinstance(error, UpstreamRefused):
+    if isinstance(error, UpstreamRefusedError):
         return RetryReason.UPSTREAM_REFUSED
-    if isinstance(error, UpstreamSilent):
+    if isinstance(error, UpstreamTimeoutError):
         return RetryReason.UPSTREAM_SILENT
     return RetryReason.UPSTREAM_BROKE
--- a/lycheetide/placement/tests/test_herd.py
+++ b/lycheetide/placement/tests/test_herd.py
@@ -13,17 +13,17 @@
 
 import pytest
 
-from lycheetide.board import Board, Job
-from lycheetide.model import DENSE_ENGINE
+from lycheetide.gossip import Job, JobTable
 from lycheetide.placement import (
     Candidate,
-    Size,
-    choose_prompt,
-    count_unknown,
+    RequestSize,
+    estimate_unknown_requests,
+    place_prompt,
     rank_replicas,
 )
+from lycheetide.simulation import DENSE_ENGINE
 
-SIZE = Size(5_000, 1_500)
+SIZE = RequestSize(5_000, 1_500)
 SIMULATED_S = 5.0
 
 
@@ -82,11 +82,11 @@
 
 
 def measure_rate(begins_s, now_s):
-    """Return the rate of starts over a second or a burst, as ``Board`` measures it."""
-    board = Board()
+    """Return the start rate over a second or a burst, as ``JobTable`` measures it."""
+    job_table = JobTable()
     for begin_s in sorted(begins_s):
-        board.start(Job(f"{begin_s}", "n", (), begin_s, now_s), now_s=begin_s)
-    return board.starts_per_s(now_s=now_s)
+        job_table.start(Job(f"{begin_s}", "n", (), begin_s, now_s), now_s=begin_s)
+    return job_table.starts_per_s(now_s=now_s)
 
 
 def simulate(fleet, *, seed=1, oracle=False):
@@ -111,8 +111,12 @@
             Candidate(name, name, rank, fleet.slots, writers=known[name])
             for name, rank in ranks.items()
         ]
-        unknown = 0.0 if oracle else count_unknown(starts_per_s, told_s, fleet.nodes)
-        replica = choose_prompt(
+        unknown = (
+            0.0
+            if oracle
+            else estimate_unknown_requests(starts_per_s, told_s, fleet.nodes)
+        )
+        replica = place_prompt(
             DENSE_ENGINE, SIZE, candidates, target_s=0.4, unknown=unknown,
             draw=rng.random(),
         ).first.id  # fmt: skip
--- a/lycheetide/placement/tests/test_news.py
+++ b/lycheetide/placement/tests/test_news.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lycheetide.board import START_WINDOW_S, Board, Started, make_job
-from lycheetide.board._messages import Part
-from lycheetide.placement import NEWS_S, may_send, share_cold_limits
+from lycheetide.gossip import START_WINDOW_S, JobTable, Started, make_job
+from lycheetide.gossip._messages import JobPart
+from lycheetide.placement import PROPAGATION_DELAY_S, may_send, share_cold_limits
 
 REPLICA = "r"
 SIMULATED_S = 3.0
@@ -32,7 +32,7 @@
         self.count = len(nodes)
         self.limit_per_s = limit_per_s
         self.allowance = share_cold_limits(name, nodes)(limit_per_s, REPLICA)
-        self.board = Board()
+        self.job_table = JobTable()
         self.starts_s: deque[float] = deque()
         self.sent = 0
 
@@ -44,8 +44,12 @@
             self.limit_per_s,
             allowance=self.allowance,
             own_starts=len(self.starts_s),
-            own_recent=sum(now_s - at_s < NEWS_S for at_s in self.starts_s),
-            all_starts=self.board.starts_within(REPLICA, START_WINDOW_S, now_s=now_s),
+            own_recent=sum(
+                now_s - at_s < PROPAGATION_DELAY_S for at_s in self.starts_s
+            ),
+            all_starts=self.job_table.starts_within(
+                REPLICA, START_WINDOW_S, now_s=now_s
+            ),
             nodes=self.count,
             is_cold=is_cold,
             is_last_resort=True,
@@ -55,14 +59,14 @@
         """Send a request, and return the message that announces it to the others."""
         self.sent += 1
         self.starts_s.append(now_s)
-        started = Started(self.name, str(self.sent), (Part(REPLICA, 0.0),), 100)
+        started = Started(self.name, str(self.sent), (JobPart(REPLICA, 0.0),), 100)
         self.receive(started, now_s)
         return started
 
     def receive(self, message, now_s):
         """Record a request that this node or another one has sent."""
-        self.board.start(make_job(message, now_s=now_s), now_s=now_s)
-        self.board.end(message.node, message.job, now_s=now_s)
+        self.job_table.start(make_job(message, now_s=now_s), now_s=now_s)
+        self.job_table.end(message.node, message.job, now_s=now_s)
 
 
 def simulate(count, limit_per_s, *, seed, delay_s, busy=1.0, rate_per_s=100.0):
@@ -111,7 +115,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@pytest.mark.parametrize("delay_s", [0.003, 0.03, NEWS_S])
+@pytest.mark.parametrize("delay_s", [0.003, 0.03, PROPAGATION_DELAY_S])
 @pytest.mark.parametrize(("count", "limit"), [(2, 20.0), (3, 20.0), (9, 36.0)])
 def test_nodes_that_hear_late_of_one_another_keep_a_limit(count, limit, delay_s, seed):
     """Nodes that see the same rest of a limit at once would each use all of it."""
@@ -125,7 +129,7 @@
 
     A cold replica fails if it gets more than 1.5 times its limit plus five requests.
     """
-    sent_s = simulate(60, 36.0, seed=seed, delay_s=NEWS_S, rate_per_s=10.0)
+    sent_s = simulate(60, 36.0, seed=seed, delay_s=PROPAGATION_DELAY_S, rate_per_s=10.0)
     assert 0 < count_peak(sent_s) <= 36.0 * 1.5 + 5
 
 
--- a/lycheetide/platform/_requests.py
+++ b/lycheetide/platform/_requests.py
@@ -1,7 +1,7 @@
 """Decode callers' requests and replicas' responses; encode requests to replicas."""
 
-from lycheetide.exchange import Answer, CallerRequest, Load
-from lycheetide.httpclient import Outgoing
+from lycheetide.exchange import CallerRequest, ReplicaResponse, ReportedLoad
+from lycheetide.httpclient import OutgoingRequest
 
 READY_PATH = "/-/ready"
 RESUME_HEADER = b"last-event-id"
@@ -139,7 +139,7 @@
         The caller's request.
     body : bytes
         The body of the caller's request.
-    replica : Entry
+    replica : RegistryEntry
         The replica; no other replica may run the request.
     customer : str
         The customer who sent the request; empty if there is none.
@@ -155,7 +155,7 @@
 
     Returns
     -------
-    Outgoing
+    OutgoingRequest
         The request to send.
     """
     headers = list(request.headers)
@@ -172,7 +172,7 @@
             f"{address}/{ticket}" if ticket else address for address, ticket in helpers
         )
         headers.append((HELPERS, helper_list.encode()))
-    return Outgoing(
+    return OutgoingRequest(
         request.method.encode(), request.target, tuple(headers), body,
         has_body=bool(body) or request.method in {"POST", "PUT", "PATCH"},
     )  # fmt: skip
@@ -183,7 +183,7 @@
     parts = text.split(b",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
-    return Load(*(int(part) for part in parts))
+    return ReportedLoad(*(int(part) for part in parts))
 
 
 def decode_answer(head):
@@ -196,12 +196,12 @@
 
     Returns
     -------
-    Answer
+    ReplicaResponse
         The decoded head.
     """
     headers = head.headers
     unstarted = head.status == 421 or bool(_find_header(headers, NOT_EXECUTED))
-    return Answer(
+    return ReplicaResponse(
         status=head.status,
         attempt_id=_find_header(headers, ATTEMPT_ID).decode("latin-1"),
         is_sealed=bool(_find_header(headers, SEAL)),
@@ -215,7 +215,7 @@
     )
 
 
-def relayed_headers(headers):
+def filter_response_headers(headers):
     """Return the headers of a replica's response that are passed to the caller."""
     return [
         (key, value)
@@ -224,7 +224,7 @@
     ]
 
 
-def encode_own_answer(request, *, retry_after_s):
+def encode_node_response_headers(request, *, retry_after_s):
     """Return the headers of a response that the node itself gives.
 
     Parameters
--- a/lycheetide/platform/_store.py
+++ b/lycheetide/platform/_store.py
@@ -6,8 +6,13 @@
 
 import msgspec
 
-from lycheetide.exchange import Batch, Record, StoreUnavailable
-from lycheetide.httpclient import Channel, ChannelBroken, ConnectFailed, Outgoing
+from lycheetide.exchange import Record, RecordBatch, StoreUnavailable
+from lycheetide.httpclient import (
+    Channel,
+    ChannelConnectError,
+    ChannelError,
+    OutgoingRequest,
+)
 from lycheetide.platform._records import (
     BATCH_HEADER_BYTES,
     RecordFormatError,
@@ -15,11 +20,11 @@
     encode_record,
 )
 
-OPERATOR = "keyed.op"
+OPERATOR_TOPIC = "keyed.op"
 """Topic of operators' records: the configuration and failure domains out of service."""
-REGISTRY = "keyed.servers"
+REGISTRY_TOPIC = "keyed.servers"
 """Topic of the records that replicas write about themselves."""
-NODES = "keyed.lycheetide-nodes"
+NODES_TOPIC = "keyed.lycheetide-nodes"
 """Topic to which the nodes of this system write their addresses."""
 
 MAX_READ_KB = 1_024
@@ -65,7 +70,7 @@
         self._note_call = note_call
         self._channel = None
 
-    async def read(self, topic, offset, *, wait_s, timeout_s) -> Batch:
+    async def read(self, topic, offset, *, wait_s, timeout_s) -> RecordBatch:
         """Return the records from an offset on, or a listing if they have expired.
 
         Parameters
@@ -103,9 +108,9 @@
         except RecordFormatError as error:
             raise StoreUnavailable(str(error)) from error
         next_offset = records[-1].offset + 1 if records else max(end, offset)
-        return Batch(records, next_offset)
+        return RecordBatch(records, next_offset)
 
-    async def list(self, topic, *, timeout_s) -> Batch:
+    async def list(self, topic, *, timeout_s) -> RecordBatch:
         """Return the newest record of each key.
 
         Raises
@@ -133,7 +138,7 @@
                 # first page are read again, starting from the end offset of that page.
                 first_page_end = page.end
             if not page.more or not page.items:
-                return Batch(tuple(records), first_page_end, is_listing=True)
+                return RecordBatch(tuple(records), first_page_end, is_listing=True)
             after = page.items[-1].key
 
     async def append(self, topic, key, value, *, timeout_s):
@@ -171,12 +176,14 @@
             headers = [(b"Host", self.address.encode())]
             if body:
                 headers.append((b"Content-Type", b"application/octet-stream"))
-            outgoing = Outgoing(method.encode(), target.encode(), tuple(headers), body)
+            outgoing = OutgoingRequest(
+                method.encode(), target.encode(), tuple(headers), body
+            )
             head = await self._channel.request(outgoing, timeout_s=timeout_s)
             content = await self._channel.read_all(timeout_s=timeout_s)
             whole = self._channel.is_reusable
             return _StoreResponse(head.status, content)
-        except (ConnectFailed, ChannelBroken) as error:
+        except (ChannelConnectError, ChannelError) as error:
             raise StoreUnavailable(str(error)) from error
         finally:
             if not whole:
--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lycheetide.board import Ended, Part, Started, make_job, make_sent_ms
-from lycheetide.exchange import Answer
-from lycheetide.httpclient import ChannelBroken, ConnectFailed, count_kept
+from lycheetide.exchange import ReplicaResponse
+from lycheetide.gossip import Ended, JobPart, Started, make_job, make_sent_ms
+from lycheetide.httpclient import ChannelConnectError, ChannelError, compute_idle_limit
 from lycheetide.placement import Placement
 from lycheetide.relay._call import find_admission_priority
-from lycheetide.relay._evidence import note_answer, suspect
+from lycheetide.relay._evidence import record_response, suspect
 from lycheetide.relay._outcomes import AttemptFailed, Cause
 from lycheetide.relay._retries import spend_retry
 from lycheetide.relay._state import read_clock
@@ -28,20 +28,20 @@
     """A request at one replica after the head of its answer was read."""
 
     channel: Any
-    answer: Answer
+    answer: ReplicaResponse
     placement: Placement
 
 
 def make_parts(call, placement):
     """Return the cost of a request at each replica that takes part in it."""
-    read_s = placement.part_read_s
+    read_s = placement.part_prefill_s
     held_tokens = sum(share.tokens for share in placement.holders)
-    parts = [Part(placement.first.id, read_s, call.size.tokens - held_tokens, True)]
+    parts = [JobPart(placement.first.id, read_s, call.size.tokens - held_tokens, True)]
     parts += [
-        Part(share.replica.id, read_s, share.tokens, False)
+        JobPart(share.replica.id, read_s, share.tokens, False)
         for share in placement.holders
     ]
-    parts += [Part(helper.id, read_s, 0, False) for helper in placement.helpers]
+    parts += [JobPart(helper.id, read_s, 0, False) for helper in placement.helpers]
     return tuple(parts)
 
 
@@ -56,25 +56,25 @@
     """
     now_s = read_clock()
     expires_in_s = max(0.0, call.remaining_s(now_s=now_s)) + JOB_EXPIRY_MARGIN_S
-    job_id = relay.next_job()
+    job_id = relay.make_attempt_name()
     due_s = call.request.received_s + call.route.target_latency_s
     started = Started(
         relay.node,
         job_id,
         make_parts(call, placement),
-        lasts_ms=round(expires_in_s * 1e3),
+        expires_in_ms=round(expires_in_s * 1e3),
         due_in_ms=round((due_s - now_s) * 1e3),
         gap_ms=round(call.route.target_gap_s * 1e3),
         weight_hundredths=round(call.size.weight * 100),
         sent_ms=make_sent_ms(now_s),
     )
-    relay.board.start(make_job(started, now_s=now_s), now_s=now_s)
-    relay.tell_work(started)
+    relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
+    relay.broadcast_work(started)
     try:
         yield job_id
     finally:
-        relay.board.end(relay.node, job_id, now_s=read_clock())
-        relay.tell_work(Ended(relay.node, job_id))
+        relay.job_table.end(relay.node, job_id, now_s=read_clock())
+        relay.broadcast_work(Ended(relay.node, job_id))
 
 
 def announce_late_send(relay, replica, *, now_s):
@@ -83,18 +83,18 @@
     The announcement is a job without cost that has ended already, so that only the
     start is counted.
     """
-    job_id = relay.next_job()
+    job_id = relay.make_attempt_name()
     started = Started(
         relay.node,
         job_id,
-        (Part(replica, 0.0),),
-        lasts_ms=0,
+        (JobPart(replica, 0.0),),
+        expires_in_ms=0,
         sent_ms=make_sent_ms(now_s),
     )
-    relay.board.start(make_job(started, now_s=now_s), now_s=now_s)
-    relay.board.end(relay.node, job_id, now_s=now_s)
-    relay.tell_work(started)
-    relay.tell_work(Ended(relay.node, job_id))
+    relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
+    relay.job_table.end(relay.node, job_id, now_s=now_s)
+    relay.broadcast_work(started)
+    relay.broadcast_work(Ended(relay.node, job_id))
 
 
 @asynccontextmanager
@@ -152,7 +152,7 @@
     whole = False
     try:
         answer = relay.adapter.decode_answer(head)
-        note_answer(relay, first.id, answer)
+        record_response(relay, first.id, answer)
         check_answer(call, answer)
         attempt = Attempt(channel, answer, placement)
         yield attempt
@@ -160,9 +160,9 @@
     finally:
         if whole:
             now_s = read_clock()
-            nodes = len(relay.living_nodes(now_s=now_s))
-            most = count_kept(call.service.max_connections, nodes)
-            await relay.pool.give_back(channel, now_s=now_s, most=most)
+            nodes = len(relay.list_alive_nodes(now_s=now_s))
+            max_idle = compute_idle_limit(call.service.max_connections, nodes)
+            await relay.pool.give_back(channel, now_s=now_s, max_idle=max_idle)
         else:
             await channel.aclose()
 
@@ -184,20 +184,20 @@
     is_counted = False
     announced_s = read_clock()
     while True:
-        relay.note_placed(first.id)
+        relay.record_placed(first.id)
         try:
             channel = await connect(relay, call, first, is_fresh=is_fresh)
         finally:
-            relay.note_settled(first.id)
+            relay.record_placement_ended(first.id)
         if not is_counted:
             # Counted only now: an unreachable replica must not use up an attempt.
             call.sent += 1
             call.has_retry = False
             is_counted = True
-        is_kept = channel.served > 0
+        is_kept = channel.request_count > 0
         try:
             now_s = read_clock()
-            relay.note_start(first.id, now_s=now_s)
+            relay.record_sent(first.id, now_s=now_s)
             if now_s - announced_s > LATE_SEND_S:
                 announce_late_send(relay, first.id, now_s=now_s)
             announced_s = float("-inf")
@@ -205,14 +205,14 @@
             return channel, head
         except BaseException as error:
             await channel.aclose()
-            if not isinstance(error, ChannelBroken):
+            if not isinstance(error, ChannelError):
                 raise
             failure = make_failure(error, is_written=channel.is_written)
             call.may_have_run = call.may_have_run or failure.may_have_run
             if not is_kept or error.is_silent or not spend_retry(relay, call):
                 raise failure from error
         is_fresh = True
-        await relay.pool.forget(first.address)
+        await relay.pool.close_idle(first.address)
         relay.counters.add("retries.kept_connection")
         relay.log.info(
             "A kept connection was closed; the request goes out on a new one.",
@@ -235,7 +235,7 @@
             now_s=read_clock(),
             fresh=is_fresh,
         )
-    except ConnectFailed as error:
+    except ChannelConnectError as error:
         suspect(relay, first.id, "no connection")
         raise AttemptFailed(
             Cause.CONNECT_FAILED, str(error), may_have_run=call.may_have_run
--- a/lycheetide/relay/_spreading.py
+++ b/lycheetide/relay/_broadcast.py
@@ -8,8 +8,8 @@
 
 import anyio
 
-from lycheetide.board import Bundle, encode_message
-from lycheetide.relay._sharing import find_hubs
+from lycheetide.gossip import Bundle, encode_message
+from lycheetide.relay._roles import find_hubs
 from lycheetide.relay._state import read_clock
 
 LARGE_FLEET = 24
@@ -61,7 +61,7 @@
         if not is_large_fleet(self.relay, now_s=now_s):
             self.broadcast(message)
             return
-        data = encode_message(Bundle(self.relay.node, (message,), spreads=True))
+        data = encode_message(Bundle(self.relay.node, (message,), must_forward=True))
         for hub in find_hubs(self.relay, now_s=now_s).values():
             if hub is None:
                 self.add_to_bundle(message)
@@ -105,13 +105,13 @@
     return len(relay.peers.alive(now_s=now_s)) + 1 >= LARGE_FLEET
 
 
-def find_told_s(relay, *, now_s):
+def estimate_propagation_s(relay, *, now_s):
     """Return the time until this node learns what others place, in seconds.
 
     The measured mean delay is included: a saturated link or a slow hub adds to it.
     """
     bundle_delay_s = BUNDLE_DELAY_S if is_large_fleet(relay, now_s=now_s) else 0.0
-    return PROPAGATION_S + bundle_delay_s + relay.delays.mean_s()
+    return PROPAGATION_S + bundle_delay_s + relay.message_delays.mean_s()
 
 
 def make_bundles(node, messages):
--- a/lycheetide/relay/_plain.py
+++ b/lycheetide/relay/_buffered.py
@@ -1,18 +1,18 @@
 """Serve a request whose answer is short and is sent as a whole."""
 
-from lycheetide.exchange import Answer
-from lycheetide.httpclient import ChannelBroken
+from lycheetide.exchange import ReplicaResponse
+from lycheetide.httpclient import ChannelError
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
-from lycheetide.relay._evidence import note_failure
+from lycheetide.relay._evidence import record_failed_attempt
 from lycheetide.relay._outcomes import AttemptFailed, Cause, Refusal
-from lycheetide.relay._patience import make_answer_timeout_extension
-from lycheetide.relay._place import (
+from lycheetide.relay._retries import claim_retry
+from lycheetide.relay._selection import (
     choose_placement,
     find_placement_wait_s,
     make_refusal,
 )
-from lycheetide.relay._retries import claim_retry
 from lycheetide.relay._state import read_clock
+from lycheetide.relay._timeouts import make_answer_timeout_extension
 
 ANSWER_TIMEOUT_S = 0.8
 """How long a replica may take to answer a repeatable request before another replica is
@@ -36,7 +36,7 @@
     Refusal
         If no replica answered.
     """
-    last_answer: tuple[Answer, bytes] | None = None
+    last_answer: tuple[ReplicaResponse, bytes] | None = None
     while True:
         if last_answer is None:
             placement = await choose_placement(
@@ -50,7 +50,7 @@
         try:
             last_answer = await request_answer(relay, call, placement)
         except AttemptFailed as failure:
-            note_failure(relay, call, placement, failure)
+            record_failed_attempt(relay, call, placement, failure)
             if claim_retry(relay, call, min_attempt_s=MIN_ANSWER_ATTEMPT_S):
                 relay.counters.add(f"retries.{failure.cause}")
                 continue
@@ -67,7 +67,7 @@
     if last_answer is None:
         raise make_refusal(call, Cause.NO_REPLICA)
     answer, body = last_answer
-    headers = relay.adapter.relayed_headers(answer.headers)
+    headers = relay.adapter.filter_response_headers(answer.headers)
     await reply.send_whole(answer.status, headers, body)
 
 
@@ -107,6 +107,6 @@
     ):
         try:
             body = await attempt.channel.read_all(timeout_s=wait_s, more=more)
-        except ChannelBroken as broken:
+        except ChannelError as broken:
             raise make_failure(broken, is_written=True) from broken
         return attempt.answer, body
--- a/lycheetide/relay/_call.py
+++ b/lycheetide/relay/_call.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from lycheetide.exchange import CallerRequest
-from lycheetide.placement import Size
+from lycheetide.placement import RequestSize
 from lycheetide.routes import Customer, Route, Service
 
 ADMISSION_PRIORITY_TOKENS = (10_000, 30_000, 60_000, 120_000)
@@ -33,7 +33,7 @@
         The service whose replicas may serve the request.
     customer : Customer or None
         The customer that sent the request; None if the route needs no customer.
-    size : Size
+    size : RequestSize
         Number of tokens in the prompt and in the longest answer.
     deadline_s : float
         Time by which the final answer must be sent.
@@ -62,7 +62,7 @@
     route: Route
     service: Service
     customer: Customer | None
-    size: Size
+    size: RequestSize
     deadline_s: float
     sent: int = 0
     may_have_run: bool = False
@@ -77,13 +77,13 @@
         """Return the time until the deadline, in seconds."""
         return self.deadline_s - now_s
 
-    def note_refused(self, replica, *, now_s):
+    def record_refusal(self, replica, *, now_s):
         """Record that a replica refused the call without running it."""
         self.tried.discard(replica)
         self.refusals[replica] += 1
         self.last_refused_s[replica] = now_s
 
-    def list_closed(self, *, now_s):
+    def list_excluded(self, *, now_s):
         """Return the replicas that the call must not be sent to at present.
 
         A replica that refused the call is excluded only for a backoff time: a replica
--- a/lycheetide/relay/_evidence.py
+++ b/lycheetide/relay/_evidence.py
@@ -2,7 +2,7 @@
 
 import math
 
-from lycheetide.board import Doubted, Suspected
+from lycheetide.gossip import Doubted, Suspected
 from lycheetide.relay._outcomes import Cause
 from lycheetide.relay._state import read_clock
 
@@ -12,9 +12,9 @@
 
     A replica that is already suspected was reported and logged when that began.
     """
-    if not relay.trust.suspect(replica, now_s=read_clock()):
+    if not relay.failure_detector.suspect(replica, now_s=read_clock()):
         return
-    relay.tell_work(Suspected(relay.node, replica))
+    relay.broadcast_work(Suspected(relay.node, replica))
     relay.counters.add("replicas.suspected")
     relay.log.info("A replica is suspected.", extra={"replica": replica, "why": why})
 
@@ -26,22 +26,22 @@
     kept its observations to itself, streams would move from one dead replica to the
     next.
     """
-    if relay.trust.doubt(replica, now_s=read_clock()):
-        relay.tell_work(Doubted(relay.node, replica))
+    if relay.failure_detector.doubt(replica, now_s=read_clock()):
+        relay.broadcast_work(Doubted(relay.node, replica))
         relay.counters.add("replicas.doubted")
 
 
-def note_answer(relay, replica, answer):
+def record_response(relay, replica, answer):
     """Record what a response head shows about its replica and about others."""
     now_s = read_clock()
-    relay.trust.hear(replica, now_s=now_s)
+    relay.failure_detector.hear(replica, now_s=now_s)
     if answer.is_unstarted and answer.at_fault:
         for known in list(relay.replicas.replicas.values()):
             if answer.at_fault in (known.entry.id, known.entry.address):
                 suspect(relay, known.entry.id, "another replica waited for it")
 
 
-def note_failure(relay, call, placement, failure):
+def record_failed_attempt(relay, call, placement, failure):
     """Record a failed attempt."""
     call.may_have_run = call.may_have_run or failure.may_have_run
     is_helped = bool(placement.helpers or placement.holders)
@@ -49,7 +49,7 @@
         # Which helper was at fault isn't known, so the next attempt uses none.
         call.helpers_refused = True
     if failure.cause is Cause.REFUSED and not failure.may_have_run:
-        call.note_refused(placement.first.id, now_s=read_clock())
+        call.record_refusal(placement.first.id, now_s=read_clock())
     if failure.cause is Cause.BROKEN:
         doubt(relay, placement.first.id)
     if failure.cause is Cause.SILENT:
@@ -86,8 +86,8 @@
         replica, omitted if neither ever had; ``reads_ms``: time for which it will still
         be reading prompts.
     """
-    fields = {"reads_ms": round(relay.board.backlog_s(replica, now_s=now_s) * 1e3)}
-    heard_s = relay.trust.heard_s(replica)
-    if math.isfinite(heard_s):
-        fields["heard_ms"] = round((now_s - heard_s) * 1e3)
+    fields = {"reads_ms": round(relay.job_table.backlog_s(replica, now_s=now_s) * 1e3)}
+    last_heard_s = relay.failure_detector.last_heard_s(replica)
+    if math.isfinite(last_heard_s):
+        fields["heard_ms"] = round((now_s - last_heard_s) * 1e3)
     return fields
--- a/lycheetide/relay/_peer_state.py
+++ b/lycheetide/relay/_peer_state.py
@@ -3,10 +3,10 @@
 import anyio
 import msgspec
 
-from lycheetide.exchange import Batch
-from lycheetide.httpclient import ChannelBroken, ConnectFailed, Outgoing
+from lycheetide.exchange import RecordBatch
+from lycheetide.httpclient import ChannelConnectError, ChannelError, OutgoingRequest
+from lycheetide.relay._apply_records import apply_batch
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._take import apply_batch
 
 PEER_POLL_S = 0.01
 MAX_TRANSFER_S = 0.3
@@ -73,27 +73,29 @@
     try:
         target = TOPIC_TARGETS[name] + (FORCE_QUERY if force else b"")
         batch = await request_topic(relay, address, target)
-    except (ConnectFailed, ChannelBroken, msgspec.MsgspecError) as error:
+    except (ChannelConnectError, ChannelError, msgspec.MsgspecError) as error:
         relay.log.info(
             "A peer gave no state.", extra={"peer": address, "cause": str(error)}
         )
         return
     relay.counters.add(f"peers.gave.{name}")
-    read_s = getattr(relay, name).read_s
+    complete_until_s = getattr(relay, name).complete_until_s
     if name == "registry" and batch.end >= relay.registry.offset:
-        read_s = max(read_s, known_s)
-    apply_batch(relay, name, batch, now_s=read_clock(), read_s=read_s)
+        complete_until_s = max(complete_until_s, known_s)
+    apply_batch(
+        relay, name, batch, now_s=read_clock(), complete_until_s=complete_until_s
+    )
 
 
 async def request_topic(relay, address, target):
     """Request all records of one topic from a peer."""
-    outgoing = Outgoing(b"GET", target, ((b"Host", address.encode()),))
+    outgoing = OutgoingRequest(b"GET", target, ((b"Host", address.encode()),))
     head, data = await relay.pool.call(
         address, outgoing, timeout_s=PEER_TIMEOUT_S, read_clock=read_clock
     )
     if head.status != 200:
-        raise ChannelBroken(f"{address}: status {head.status}")
-    return msgspec.msgpack.decode(data, type=Batch)
+        raise ChannelError(f"{address}: status {head.status}")
+    return msgspec.msgpack.decode(data, type=RecordBatch)
 
 
 def compute_size_limit_bytes(relay):
@@ -120,7 +122,7 @@
         status, body = 404, b""
         if name is not None:
             source = getattr(relay, name)
-            batch = Batch(tuple(source.records.values()), source.offset, True)
+            batch = RecordBatch(tuple(source.records.values()), source.offset, True)
             status, body = 200, msgspec.msgpack.encode(batch)
             force = scope["query_string"] == FORCE_QUERY[1:]
             if not force and len(body) > compute_size_limit_bytes(relay):
--- a/lycheetide/relay/_tickets.py
+++ b/lycheetide/relay/_reservations.py
@@ -12,17 +12,17 @@
 
 import anyio
 
-from lycheetide.board import Ended, Waiting, Wants
-from lycheetide.httpclient import ChannelBroken, ConnectFailed
-from lycheetide.placement import Placement, count_room, needs_sharing
+from lycheetide.gossip import Ended, MemoryWanted, WaitingRequest
+from lycheetide.httpclient import ChannelConnectError, ChannelError
+from lycheetide.placement import Placement, count_reservable_tokens, needs_shared_memory
 from lycheetide.relay._evidence import suspect
-from lycheetide.relay._place import (
-    find_place,
+from lycheetide.relay._selection import (
+    find_placement,
     is_worthwhile,
     list_candidates,
 )
 from lycheetide.relay._state import read_clock
-from lycheetide.routes import ANY_ENGINE
+from lycheetide.routes import DEFAULT_ENGINE
 
 RESERVATION_TTL_S = 3.5
 """How long a reservation outlives its last renewal. Memory must be free within 4 s
@@ -82,8 +82,8 @@
     MemoryUnavailable
         If the memory can't be reserved.
     """
-    engine = call.service.engine or ANY_ENGINE
-    if not needs_sharing(engine, call.size.tokens):
+    engine = call.service.engine or DEFAULT_ENGINE
+    if not needs_shared_memory(engine, call.size.tokens):
         yield ReservedMemory()
         return
     memory, reservations = await _reserve_all(relay, call, wait_s)
@@ -146,29 +146,34 @@
         ahead = self.relay.memory_queue.list_ahead(self.waiting, now_s=now_s)
         if not ahead:
             return True
-        engine = self.call.service.engine or ANY_ENGINE
+        engine = self.call.service.engine or DEFAULT_ENGINE
         wanted_tokens = self.call.size.tokens + sum(one.tokens for one in ahead)
-        return wanted_tokens <= count_room(engine, candidates)
+        return wanted_tokens <= count_reservable_tokens(engine, candidates)
 
     def enqueue(self, *, now_s):
         """Join the queue, or announce to all nodes that this call still waits."""
         if self.waiting is None:
-            number = self.relay.memory_queue.take_number()
-            self.waiting = Waiting(
-                number, self.relay.node, self.relay.next_job(), self.call.size.tokens
+            number = self.relay.memory_queue.next_number()
+            self.waiting = WaitingRequest(
+                number,
+                self.relay.node,
+                self.relay.make_attempt_name(),
+                self.call.size.tokens,
             )
         if now_s - self.announced_s < ANNOUNCE_INTERVAL_S:
             return
         self.announced_s = now_s
         one = self.waiting
         self.relay.memory_queue.note(one, now_s=now_s)
-        self.relay.tell_work(Wants(one.node, one.job, one.number, one.tokens))
+        self.relay.broadcast_work(
+            MemoryWanted(one.node, one.job, one.number, one.tokens)
+        )
 
     def leave(self):
         """Leave the queue."""
         if self.waiting is not None:
             self.relay.memory_queue.drop(self.waiting.node, self.waiting.job)
-            self.relay.tell_work(Ended(self.waiting.node, self.waiting.job))
+            self.relay.broadcast_work(Ended(self.waiting.node, self.waiting.job))
 
 
 async def _try_reserve_all(relay, call, admissible, refused_ids):
@@ -186,11 +191,11 @@
         Replicas that refused a share in the last try; replaced by those of this try.
     """
     candidates = [one for one in admissible if one.id not in refused_ids]
-    placement = find_place(relay, call, candidates, now_s=read_clock())
+    placement = find_placement(relay, call, candidates, now_s=read_clock())
     refused_ids.clear()
     if not is_worthwhile(call, placement):
         return None
-    job = relay.next_job()
+    job = relay.make_attempt_name()
     wanted_shares = [
         (share.replica, f"{relay.node}/{job}/{place}", share.tokens)
         for place, share in enumerate(placement.holders)
@@ -227,7 +232,7 @@
                 address, outgoing, timeout_s=ORDER_TIMEOUT_S, read_clock=read_clock
             )
             return head.status
-    except (ConnectFailed, ChannelBroken, TimeoutError) as error:
+    except (ChannelConnectError, ChannelError, TimeoutError) as error:
         relay.log.info(
             "An order got no answer.", extra={"address": address, "cause": str(error)}
         )
--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_selection.py
@@ -2,21 +2,21 @@
 
 import anyio
 
-from lycheetide.board import START_WINDOW_S
+from lycheetide.gossip import START_WINDOW_S
 from lycheetide.placement import (
-    HELPERS_MOST,
+    MAX_HELPERS,
     Arrivals,
     caller_patience_s,
-    choose_plain,
-    choose_prompt,
-    count_unknown,
+    estimate_unknown_requests,
     may_send,
+    place_plain_request,
+    place_prompt,
     share_cold_limits,
 )
+from lycheetide.relay._broadcast import estimate_propagation_s
 from lycheetide.relay._outcomes import Cause, Refusal
-from lycheetide.relay._spreading import find_told_s
 from lycheetide.relay._state import read_clock
-from lycheetide.routes import ANY_ENGINE
+from lycheetide.routes import DEFAULT_ENGINE
 
 DEFAULT_RETRY_DELAY_S = 0.5
 """Delay in the Retry-After header when no replica takes work: changes in the registry
@@ -37,7 +37,7 @@
     return relay.random.choices([share.service for share in shares], weights)[0]
 
 
-def is_open(
+def is_within_cold_limit(
     relay, service, candidate, *, find_allowance, now_s, nodes=1, is_last_resort=False
 ):
     """Tell whether one more request may go to a replica within its cold limit.
@@ -63,7 +63,9 @@
     if limit <= 0:
         return True
     own_starts = relay.own_starts(candidate.id, START_WINDOW_S, now_s=now_s)
-    all_starts = relay.board.starts_within(candidate.id, START_WINDOW_S, now_s=now_s)
+    all_starts = relay.job_table.starts_within(
+        candidate.id, START_WINDOW_S, now_s=now_s
+    )
     if not (candidate.is_cold or own_starts or all_starts):
         # True of most replicas in a large fleet. Skips the computation of this node's
         # share for each of them, which would dominate the cost of a placement.
@@ -90,19 +92,19 @@
     usable : list of Candidate
         All replicas that take work.
     """
-    relay.take_news()
+    relay.receive_datagrams()
     now_s = read_clock()
     homes = (call.route.regions, call.customer.regions if call.customer else ())
     usable = relay.candidates(
-        call.service, now_s=now_s, without=call.list_closed(now_s=now_s), homes=homes
+        call.service, now_s=now_s, without=call.list_excluded(now_s=now_s), homes=homes
     )
-    living = relay.living_nodes(now_s=now_s)
+    living = relay.list_alive_nodes(now_s=now_s)
     find_allowance = share_cold_limits(relay.node, living)
     for is_last_resort in (False, True):
         admissible = [
             one
             for one in usable
-            if is_open(
+            if is_within_cold_limit(
                 relay,
                 call.service,
                 one,
@@ -117,15 +119,15 @@
     return admissible, usable
 
 
-def find_place(relay, call, candidates, *, now_s):
+def find_placement(relay, call, candidates, *, now_s):
     """Return the placement for a call, or None if there is none."""
     if not call.size.prompt_tokens:
-        return choose_plain(candidates)
-    engine = call.service.engine or ANY_ENGINE
+        return place_plain_request(candidates)
+    engine = call.service.engine or DEFAULT_ENGINE
     # A replica refuses a prompt if one of its helpers is shutting down. Other nodes may
     # not know that yet while the store is unavailable, so a second attempt with helpers
     # would be refused as well.
-    return choose_prompt(
+    return place_prompt(
         engine,
         call.size,
         candidates,
@@ -133,10 +135,10 @@
         left_s=find_first_event_due_s(call) - now_s,
         patience_s=find_patience_s(call),
         arrivals=estimate_arrivals(relay, call, candidates, now_s=now_s),
-        helpers_most=0 if call.helpers_refused else HELPERS_MOST,
-        unknown=count_unknown(
-            relay.board.starts_per_s(now_s=now_s),
-            find_told_s(relay, now_s=now_s),
+        max_helpers=0 if call.helpers_refused else MAX_HELPERS,
+        unknown=estimate_unknown_requests(
+            relay.job_table.starts_per_s(now_s=now_s),
+            estimate_propagation_s(relay, now_s=now_s),
             len(relay.peers.alive(now_s=now_s)) + 1,
         ),
         draw=relay.random.random(),
@@ -146,17 +148,17 @@
 def estimate_arrivals(relay, call, candidates, *, now_s):
     """Return the request rate and the shortest target of a call's service."""
     starts = sum(
-        relay.board.starts_within(one.id, START_WINDOW_S, now_s=now_s)
+        relay.job_table.starts_within(one.id, START_WINDOW_S, now_s=now_s)
         for one in candidates
     )
-    target_s = relay.table.find_shortest_target_s(call.service.name)
+    target_s = relay.route_table.find_shortest_target_s(call.service.name)
     return Arrivals(starts / START_WINDOW_S, target_s)
 
 
 def has_placement(relay, call, *, now_s):
     """Tell whether a replica would take a call at present."""
     admissible, _ = list_candidates(relay, call)
-    return is_worthwhile(call, find_place(relay, call, admissible, now_s=now_s))
+    return is_worthwhile(call, find_placement(relay, call, admissible, now_s=now_s))
 
 
 def find_first_event_due_s(call):
@@ -189,7 +191,7 @@
     begun_s = read_clock()
     while True:
         candidates, usable = list_candidates(relay, call)
-        placement = find_place(relay, call, candidates, now_s=read_clock())
+        placement = find_placement(relay, call, candidates, now_s=read_clock())
         if is_worthwhile(call, placement):
             return placement
         is_unservable = not usable and not call.is_begun
@@ -227,15 +229,16 @@
         cause = Cause.NO_ROOM
     else:
         cause = Cause.NO_MEMORY if candidates else Cause.NO_REPLICA
-    waits_s = placement.waits_s if placement is not None else 0.0
+    prefill_wait_s = placement.prefill_wait_s if placement is not None else 0.0
     harm = placement.harm if placement is not None else 0.0
-    retry_delay_s = max(DEFAULT_RETRY_DELAY_S, waits_s)
+    retry_delay_s = max(DEFAULT_RETRY_DELAY_S, prefill_wait_s)
     if placement is not None and harm > placement.worth:
         retry_delay_s = max(retry_delay_s, call.route.target_latency_s)
     relay.log.info(
         "A request finds no place.",
         extra={"request": call.request.attempt_id, "cause": str(cause),
-               "open_replicas": len(candidates), "waits_ms": round(waits_s * 1e3),
+               "open_replicas": len(candidates),
+               "waits_ms": round(prefill_wait_s * 1e3),
                "harm": round(harm, 1), "sent": call.sent},
     )  # fmt: skip
     return make_refusal(call, cause, retry_delay_s=retry_delay_s)
--- a/lycheetide/relay/_serve.py
+++ b/lycheetide/relay/_serve.py
@@ -2,14 +2,18 @@
 
 import anyio
 
-from lycheetide.placement import Size
+from lycheetide.placement import RequestSize
+from lycheetide.relay._buffered import serve_buffered
 from lycheetide.relay._call import Call
 from lycheetide.relay._outcomes import Cause, Refusal, StreamAborted
-from lycheetide.relay._place import DEFAULT_RETRY_DELAY_S, make_refusal, pick_service
-from lycheetide.relay._plain import serve_buffered
+from lycheetide.relay._selection import (
+    DEFAULT_RETRY_DELAY_S,
+    make_refusal,
+    pick_service,
+)
 from lycheetide.relay._state import read_clock
 from lycheetide.relay._stream import serve_stream
-from lycheetide.routes import Kind, NoCustomer, NoRoute
+from lycheetide.routes import CustomerNotFound, RouteKind, RouteNotFound
 
 INITIAL_STATE_POLL_S = 0.01
 ANSWER_MARGIN_S = 0.03
@@ -26,7 +30,7 @@
     if request.time_left_s is not None:
         remaining_s = min(remaining_s, request.time_left_s - ANSWER_MARGIN_S)
     until_s = request.received_s + remaining_s
-    while relay.awaits_first_news() and read_clock() < until_s:
+    while relay.is_loading_first_state() and read_clock() < until_s:
         await anyio.sleep(INITIAL_STATE_POLL_S)
 
 
@@ -39,17 +43,17 @@
         If this node has no configuration yet, or the configuration doesn't permit the
         request.
     """
-    table = relay.table
-    if table is None:
+    route_table = relay.route_table
+    if route_table is None:
         raise Refusal(503, Cause.NOT_READY, retry_after_s=DEFAULT_RETRY_DELAY_S)
     try:
-        route = table.find_route(request.host, request.path)
-        customer = table.find_customer(route, request.credential)
-    except NoRoute as error:
+        route = route_table.find_route(request.host, request.path)
+        customer = route_table.find_customer(route, request.credential)
+    except RouteNotFound as error:
         raise Refusal(404, Cause.NO_ROUTE, message=str(error)) from error
-    except NoCustomer as error:
+    except CustomerNotFound as error:
         raise Refusal(401, Cause.UNAUTHENTICATED, message=str(error)) from error
-    service = table.services.get(pick_service(relay, route))
+    service = route_table.services.get(pick_service(relay, route))
     if service is None:
         raise Refusal(503, Cause.NO_REPLICA, retry_after_s=DEFAULT_RETRY_DELAY_S)
     remaining_s = route.timeout_s
@@ -61,7 +65,7 @@
         route=route,
         service=service,
         customer=customer,
-        size=Size(request.prompt_tokens, request.answer_tokens),
+        size=RequestSize(request.prompt_tokens, request.answer_tokens),
         deadline_s=request.received_s + remaining_s - ANSWER_MARGIN_S,
     )
 
@@ -77,14 +81,14 @@
         If the call ends after a part of the answer was sent.
     """
     now_s = read_clock()
-    relay.retries(call.service.name).note_request(now_s=now_s)
+    relay.retries(call.service.name).record_request(now_s=now_s)
     reply.note(
         route=call.route.name,
         customer=call.customer.name if call.customer else "",
         target_ms=round(call.route.target_latency_s * 1e3),
         gap_ms=round(call.route.target_gap_s * 1e3),
     )
-    serve = serve_stream if call.route.kind is Kind.STREAM else serve_buffered
+    serve = serve_stream if call.route.kind is RouteKind.STREAM else serve_buffered
     with anyio.move_on_after(max(0.0, call.remaining_s(now_s=now_s))) as scope:
         await serve(relay, call, reply)
     if not scope.cancelled_caught:
--- a/lycheetide/relay/_state.py
+++ b/lycheetide/relay/_state.py
@@ -8,30 +8,30 @@
 
 import anyio
 
-from lycheetide.board import (
+from lycheetide.gossip import (
     START_WINDOW_S,
-    Board,
-    Delays,
+    DelayEstimator,
+    FailureDetector,
+    JobTable,
     MemoryQueue,
-    Peers,
-    Trust,
+    PeerTable,
     order_node,
 )
 from lycheetide.httpclient import ChannelPool
-from lycheetide.metrics import Counters, get_log, make_statsd
-from lycheetide.metrics._exposition import Exposition
+from lycheetide.metrics import Counters, get_logger, make_statsd_client
+from lycheetide.metrics._exporter import MetricsExporter
 from lycheetide.placement import (
-    NEWS_S,
+    PROPAGATION_DELAY_S,
     Candidate,
-    GapGroup,
+    DecodingGroup,
+    PendingPrefill,
     RetryWindow,
-    UnreadPrompt,
     rank_replicas,
 )
-from lycheetide.relay._used import Used
-from lycheetide.replicas import ReplicaTable, drop_dark_domains
+from lycheetide.relay._usage import UsageCounter
+from lycheetide.replicas import ReplicaTable, exclude_failed_domains
 from lycheetide.routes import RouteTable
-from lycheetide.tasks import Standstill
+from lycheetide.tasks import StallDetector
 
 
 def read_clock():
@@ -53,9 +53,9 @@
         Newest record by key.
     offset : int
         Offset of the next record to read; -1 before the first listing.
-    read_s : float
+    complete_until_s : float
         Time up to which the records are known to be complete.
-    returned_s : float or None
+    outage_ended_s : float or None
         When reads last succeeded again after an outage.
     is_reachable : bool
         Whether the last read succeeded.
@@ -65,8 +65,8 @@
 
     records: dict
     offset: int = -1
-    read_s: float = float("-inf")
-    returned_s: float | None = None
+    complete_until_s: float = float("-inf")
+    outage_ended_s: float | None = None
     is_reachable: bool = False
     failures: int = 0
 
@@ -92,35 +92,35 @@
         self.adapter = adapter
         self.node = node
         self.order = order_node(node)
-        self.log = get_log("relay")
+        self.log = get_logger("relay")
         self.counters = Counters(
-            make_statsd(settings.statsd_address, settings.statsd_prefix)
+            make_statsd_client(settings.statsd_address, settings.statsd_prefix)
         )
-        self.exposition = Exposition(self.counters)
+        self.metrics_exporter = MetricsExporter(self.counters)
         self.random = random.Random(node)
-        self.table: RouteTable | None = None
+        self.route_table: RouteTable | None = None
         self.closed: frozenset[str] = frozenset()
         self.operator = TopicState({})
         self.registry = TopicState({})
         self.replicas = ReplicaTable()
-        self.board = Board()
-        self.trust = Trust()
-        self.delays = Delays()
+        self.job_table = JobTable()
+        self.failure_detector = FailureDetector()
+        self.message_delays = DelayEstimator()
         self.memory_queue = MemoryQueue()
-        self.peers = Peers(settings.peer_address, fleet=settings.store_address)
+        self.peers = PeerTable(settings.peer_address, fleet=settings.store_address)
         self.pool = ChannelPool()
-        self.standstill = Standstill()
+        self.stall_detector = StallDetector()
         self.started_s = read_clock()
-        self.used = Used(now_s=self.started_s)
+        self.used = UsageCounter(now_s=self.started_s)
         self.active = 0
         self.is_leaving = False
-        self.told_to_stop = anyio.Event()
+        self.stop_requested = anyio.Event()
         self.tasks = None
-        self.tell_work = None
+        self.broadcast_work = None
         self.broadcast_change = None
         self.broadcast_to_domain = None
         self.trigger_heartbeat = None
-        self.take_news = _do_nothing
+        self.receive_datagrams = _do_nothing
         self.operator_read_scope = None
         self.operator_update = anyio.Event()
         self.digest_differs_since_s = None
@@ -153,11 +153,11 @@
         return -round(self.settings.link_mbps), self.order
 
     @property
-    def reads_store(self):
+    def is_store_reachable(self):
         """Whether this node's last reads of the store succeeded."""
         return not (self.registry.failures or self.operator.failures)
 
-    def awaits_first_news(self):
+    def is_loading_first_state(self):
         """Tell whether this node has just started and its first state may arrive soon.
 
         After a failed read it may not arrive soon.
@@ -185,20 +185,20 @@
             )
         return window
 
-    def next_job(self):
+    def make_attempt_name(self):
         """Return a new name for an attempt, unique within this start of the node."""
         self._attempt_count += 1
         return f"{self._attempt_count:x}"
 
-    def note_placed(self, replica):
+    def record_placed(self, replica):
         """Count a request that this node is about to send to a replica."""
         self._own_placed[replica] += 1
 
-    def note_start(self, replica, *, now_s):
+    def record_sent(self, replica, *, now_s):
         """Count a request that this node sends to a replica."""
         self._own_starts[replica].append(now_s)
 
-    def note_settled(self, replica):
+    def record_placement_ended(self, replica):
         """Uncount a request that was about to be sent, after it was sent or dropped."""
         self._own_placed[replica] -= 1
         if self._own_placed[replica] <= 0:
@@ -222,7 +222,7 @@
         starts = self._own_starts.get(replica)
         if not starts:
             return placed
-        begins_s = now_s - NEWS_S
+        begins_s = now_s - PROPAGATION_DELAY_S
         return placed + sum(1 for _ in takewhile(begins_s.__lt__, reversed(starts)))
 
     def drop_gone_replicas(self, *, now_s):
@@ -230,13 +230,13 @@
         present = self.replicas.replicas
         for replica in set(self._idle_candidates) - set(present):
             del self._idle_candidates[replica]
-        self.board.forget(present, now_s=now_s)
-        self.trust.forget(present, now_s=now_s)
+        self.job_table.drop_absent(present, now_s=now_s)
+        self.failure_detector.drop_absent(present, now_s=now_s)
         for replica in [name for name in self._own_starts if name not in present]:
             if not self.own_starts(replica, START_WINDOW_S, now_s=now_s):
                 del self._own_starts[replica]
 
-    def living_nodes(self, *, now_s):
+    def list_alive_nodes(self, *, now_s):
         """Return the names of all live nodes, including this one."""
         return {self.node, *(peer.node for peer in self.peers.alive(now_s=now_s))}
 
@@ -247,15 +247,15 @@
         store or a peer. A node that hears from neither can't know which keys, replicas
         or failure domains were removed since.
         """
-        if self.is_leaving or self.table is None or not self.replicas.replicas:
+        if self.is_leaving or self.route_table is None or not self.replicas.replicas:
             return False
-        heard_s = max(
+        last_heard_s = max(
             [
-                self.operator.read_s,
-                *(peer.heard_s for peer in self.peers.peers.values()),
+                self.operator.complete_until_s,
+                *(peer.last_heard_s for peer in self.peers.peers.values()),
             ]
         )
-        return now_s - heard_s < self.settings.out_of_touch_s
+        return now_s - last_heard_s < self.settings.out_of_touch_s
 
     def candidates(self, service, *, now_s, without=frozenset(), homes=()):
         """Return the replicas of a service that accept work, with their load.
@@ -276,10 +276,10 @@
             self.replicas.usable(service.name, now_s=now_s, closed=self.closed)
         )
         ranks = self._rank(frozenset(replica.entry.id for replica in usable))
-        usable = drop_dark_domains(
+        usable = exclude_failed_domains(
             usable,
-            troubled_s=self.trust.troubled_s,
-            answered_s=self.trust.answered_s,
+            last_failure_s=self.failure_detector.last_failure_s,
+            last_answer_s=self.failure_detector.last_answer_s,
             now_s=now_s,
         )
         usable = [replica for replica in usable if replica.entry.id not in without]
@@ -292,7 +292,7 @@
         trusted = [
             replica
             for replica in usable
-            if not self.trust.is_suspect(replica.entry.id, now_s=now_s)
+            if not self.failure_detector.is_suspect(replica.entry.id, now_s=now_s)
         ]
         return [
             self._make_candidate(replica, ranks[replica.entry.id], now_s=now_s)
@@ -312,25 +312,27 @@
     def _make_candidate(self, replica, rank, *, now_s):
         """Return a replica with its load; in a large fleet most replicas have none."""
         entry = replica.entry
-        column = self.board.column(entry.id)
-        is_recovering = self.trust.is_recovering(entry.id, now_s=now_s)
+        workload = self.job_table.workload(entry.id)
+        is_recovering = self.failure_detector.is_recovering(entry.id, now_s=now_s)
         is_cold = replica.is_cold(now_s=now_s)
-        if column.is_idle(now_s=now_s) and not (is_recovering or is_cold):
+        if workload.is_idle(now_s=now_s) and not (is_recovering or is_cold):
             return self._make_idle_candidate(entry, rank)
         return Candidate(
             id=entry.id,
             address=entry.address,
             rank=rank,
             slots=entry.slots,
-            writers=column.writers,
-            writing=tuple(GapGroup(*row) for row in column.weights.items()),
-            helping=column.helping,
-            backlog_s=self.board.backlog_s(entry.id, now_s=now_s),
-            unread=tuple(
-                UnreadPrompt(one.due_s - one.by_s, one.weight)
-                for one in self.board.unread(entry.id, now_s=now_s)
+            writers=workload.writers,
+            decoding_groups=tuple(
+                DecodingGroup(*row) for row in workload.weights.items()
             ),
-            kv_tokens=column.kv_tokens,
+            helping=workload.helping,
+            backlog_s=self.job_table.backlog_s(entry.id, now_s=now_s),
+            pending_prefills=tuple(
+                PendingPrefill(one.due_s - one.read_by_s, one.weight)
+                for one in self.job_table.unread(entry.id, now_s=now_s)
+            ),
+            kv_tokens=workload.kv_tokens,
             is_near=entry.failure_domain == self.settings.failure_domain,
             is_recovering=is_recovering,
             is_cold=is_cold,
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -8,27 +8,27 @@
 
 import anyio
 
-from lycheetide.httpclient import ChannelBroken
-from lycheetide.placement import CALLER_WAITS_S, pass_s
+from lycheetide.httpclient import ChannelError
+from lycheetide.placement import MIN_CALLER_PATIENCE_S, estimate_pass_s
 from lycheetide.relay._attempt import announced_attempt, make_failure, open_attempt
 from lycheetide.relay._events import EventSplitter
-from lycheetide.relay._evidence import note_failure
+from lycheetide.relay._evidence import record_failed_attempt
+from lycheetide.relay._hedging import HedgedAttempts
 from lycheetide.relay._outcomes import AttemptFailed, Cause, StreamAborted
-from lycheetide.relay._patience import (
-    MIN_STREAM_ATTEMPT_S,
-    SILENCE_MARGIN_S,
-    make_stream_timeout_extension,
-)
-from lycheetide.relay._place import (
+from lycheetide.relay._reservations import MemoryUnavailable, reserve_memory
+from lycheetide.relay._retries import claim_retry
+from lycheetide.relay._selection import (
     choose_placement,
     find_placement_wait_s,
     make_refusal,
 )
-from lycheetide.relay._race import HedgedAttempts
-from lycheetide.relay._retries import claim_retry
 from lycheetide.relay._state import read_clock
-from lycheetide.relay._tickets import MemoryUnavailable, reserve_memory
-from lycheetide.routes import ANY_ENGINE
+from lycheetide.relay._timeouts import (
+    MIN_STREAM_ATTEMPT_S,
+    SILENCE_MARGIN_S,
+    make_stream_timeout_extension,
+)
+from lycheetide.routes import DEFAULT_ENGINE
 
 
 @dataclass
@@ -173,7 +173,7 @@
                         more=more,
                     )
             except AttemptFailed as failure:
-                note_failure(relay, call, placement, failure)
+                record_failed_attempt(relay, call, placement, failure)
                 raise
     except MemoryUnavailable as error:
         raise make_refusal(call, Cause.NO_MEMORY, message=str(error)) from None
@@ -212,7 +212,7 @@
     async with progress.write_lock:
         if reply.is_started:
             return
-        headers = relay.adapter.relayed_headers(attempt.answer.headers)
+        headers = relay.adapter.filter_response_headers(attempt.answer.headers)
         call.is_begun = True
         await reply.start(200, headers)
 
@@ -225,7 +225,7 @@
             "request": call.request.attempt_id,
             "replica": placement.first.id,
             "readers": list_readers(placement),
-            "part_ms": round(placement.part_read_s * 1e3),
+            "part_ms": round(placement.part_prefill_s * 1e3),
             "tickets": len(memory.tickets),
             "prompt_tokens": call.size.prompt_tokens,
             "expected_ms": round(placement.expected_s * 1e3),
@@ -246,8 +246,8 @@
 async def _forward_unstreamed(relay, call, reply, attempt, stream_attempt):
     """Forward an answer that isn't a stream."""
     try:
-        body = await attempt.channel.read_all(timeout_s=CALLER_WAITS_S)
-    except ChannelBroken as broken:
+        body = await attempt.channel.read_all(timeout_s=MIN_CALLER_PATIENCE_S)
+    except ChannelError as broken:
         raise make_failure(broken, is_written=True) from broken
     if reply.is_started or attempt.answer.status >= 500:
         raise AttemptFailed(
@@ -255,7 +255,7 @@
             f"status {attempt.answer.status}",
             may_have_run=True,
         )
-    headers = relay.adapter.relayed_headers(attempt.answer.headers)
+    headers = relay.adapter.filter_response_headers(attempt.answer.headers)
     stream_attempt.cancel_others()
     await reply.send_whole(attempt.answer.status, headers, body)
 
@@ -271,21 +271,21 @@
         If the stream breaks off or stays silent.
     """
     splitter = EventSplitter()
-    engine = call.service.engine or ANY_ENGINE
+    engine = call.service.engine or DEFAULT_ENGINE
     event_timeout_s = initial_timeout_s
     channel = attempt.channel
     while True:
         try:
             data = await channel.wait_for(channel.next_chunk, event_timeout_s, more)
-        except ChannelBroken as broken:
+        except ChannelError as broken:
             raise make_failure(broken, is_written=True) from broken
         if data is None:
             break
         stream_attempt.at_s = read_clock()
-        relay.trust.hear(stream_attempt.replica, now_s=stream_attempt.at_s)
+        relay.failure_detector.hear(stream_attempt.replica, now_s=stream_attempt.at_s)
         if not stream_attempt.has_data:
             stream_attempt.has_data = True
-            relay.board.note_read(
+            relay.job_table.note_read(
                 relay.node, stream_attempt.job_id, now_s=stream_attempt.at_s
             )
         for event in splitter.split(data):
@@ -293,7 +293,7 @@
                 await _forward_event(
                     relay, call, reply, progress, stream_attempt, event
                 )
-            event_timeout_s = SILENCE_MARGIN_S + pass_s(engine, 1)
+            event_timeout_s = SILENCE_MARGIN_S + estimate_pass_s(engine, 1)
     if splitter.rest.strip():
         raise AttemptFailed(Cause.BROKEN, "ended within an event", may_have_run=True)
 
@@ -321,13 +321,15 @@
     now_s = read_clock()
     if progress.events == 0:
         progress.first_event_s = now_s - call.request.received_s
-        relay.exposition.observe("first_event", progress.first_event_s, kind="stream")
+        relay.metrics_exporter.observe(
+            "first_event", progress.first_event_s, kind="stream"
+        )
     else:
         pause_s = now_s - progress.forwarded_s
         if pause_s > progress.longest_pause_s:
             progress.longest_pause_s = pause_s
             progress.longest_pause_at_s = now_s - call.request.received_s
-        relay.exposition.observe("pause", pause_s, kind="stream")
+        relay.metrics_exporter.observe("pause", pause_s, kind="stream")
     progress.forwarded_s = now_s
     progress.events += 1
     if event.id:
--- a/lycheetide/relay/tests/test_cold_limits.py
+++ b/lycheetide/relay/tests/test_cold_limits.py
@@ -5,11 +5,11 @@
 import anyio
 import pytest
 
-from lycheetide.board import START_WINDOW_S, Started
-from lycheetide.board._messages import Part
-from lycheetide.relay._place import list_candidates
+from lycheetide.gossip import START_WINDOW_S, Started
+from lycheetide.gossip._messages import JobPart
+from lycheetide.relay._selection import list_candidates
 from lycheetide.relay._serve import make_call
-from standins.relayed import HOST, KEY, Relayed
+from standins.relay_deployment import API_KEY, HOST, RelayDeployment
 
 pytestmark = pytest.mark.anyio
 
@@ -40,7 +40,7 @@
         headers=[
             (b"host", HOST.encode()),
             (b"lycheetide-attempt-id", b"0" * 16),
-            (b"lycheetide-credential", KEY.encode()),
+            (b"lycheetide-credential", API_KEY.encode()),
         ],
         now_s=time.monotonic(),
     )
@@ -53,12 +53,14 @@
     The node stalls while another one uses up the whole limit. It then chose replicas
     before its event loop had read the messages about that.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         await wait_for_peers(fleet)
         first, stalled = fleet.relays
         for number in range(USABLE_PER_S):
-            parts = (Part("r-0", 0.0),)
-            first.tell_work(Started(first.node, f"x{number}", parts, lasts_ms=500))
+            parts = (JobPart("r-0", 0.0),)
+            first.broadcast_work(
+                Started(first.node, f"x{number}", parts, expires_in_ms=500)
+            )
         # Nothing was awaited since, so no node has read a message yet.
         open_now, usable = list_candidates(stalled, make_lookup(stalled))
     assert {one.id for one in usable} == {"r-0", "r-1"}
@@ -71,11 +73,11 @@
     Connecting takes so long that the message about the placement has left the window of
     one second. The requests of two seconds would then arrive in one.
     """
-    async with Relayed(relays=2, replicas=1) as fleet:
+    async with RelayDeployment(relays=2, replicas=1) as fleet:
         await wait_for_peers(fleet)
         late, other = fleet.relays
         sent_s = []
-        open_channel, note_start = late.pool.open, late.note_start
+        open_channel, record_sent = late.pool.open, late.record_sent
 
         async def open_late(*args, **options):
             await anyio.sleep(0.35)
@@ -83,13 +85,13 @@
 
         def keep_start(replica, *, now_s):
             sent_s.append(now_s)
-            note_start(replica, now_s=now_s)
+            record_sent(replica, now_s=now_s)
 
         late.pool.open = open_late
-        late.note_start = keep_start
+        late.record_sent = keep_start
         assert (await fleet.look()).status_code == 200
         await anyio.sleep(sent_s[0] + 0.85 - time.monotonic())
-        counted = other.board.starts_within(
+        counted = other.job_table.starts_within(
             "r-0", START_WINDOW_S, now_s=time.monotonic()
         )
     assert len(sent_s) == 1
@@ -102,16 +104,18 @@
     A kept connection was closed, and the request is sent again. The replica may receive
     both, so nodes that know of only one would exceed the limit.
     """
-    async with Relayed(relays=2, replicas=1) as fleet:
+    async with RelayDeployment(relays=2, replicas=1) as fleet:
         await wait_for_peers(fleet)
         _, other = fleet.relays
         (replica,) = fleet.replicas
         assert (await fleet.look()).status_code == 200
-        replica.drops_kept = True
-        before = other.board.starts_within(
+        replica.resets_reused_connections = True
+        before = other.job_table.starts_within(
             "r-0", START_WINDOW_S, now_s=time.monotonic()
         )
         assert (await fleet.look()).status_code == 200
         await anyio.sleep(0.1)
-        after = other.board.starts_within("r-0", START_WINDOW_S, now_s=time.monotonic())
+        after = other.job_table.starts_within(
+            "r-0", START_WINDOW_S, now_s=time.monotonic()
+        )
     assert (before, after) == (1, 3)
--- a/lycheetide/relay/tests/test_sharing.py
+++ b/lycheetide/relay/tests/test_sharing.py
@@ -5,10 +5,14 @@
 import anyio
 import pytest
 
-from lycheetide.board import Changed
+from lycheetide.gossip import RegistryUpdate
 from lycheetide.relay import _follow, _peer_state
-from lycheetide.relay._sharing import is_hub, must_read, waits_for_operators
-from standins.relayed import Relayed, make_config
+from lycheetide.relay._roles import (
+    is_hub,
+    must_read_registry,
+    must_wait_for_operator_records,
+)
+from standins.relay_deployment import RelayDeployment, make_config
 
 pytestmark = pytest.mark.anyio
 
@@ -32,7 +36,7 @@
 
 
 async def test_one_node_reads_and_all_know():
-    async with Relayed(relays=4) as fleet:
+    async with RelayDeployment(relays=4) as fleet:
         _, followers = await wait_for_fleet(fleet)
         await anyio.sleep(0.7)
         counts = fleet.store.calls.copy()
@@ -46,7 +50,7 @@
             )
         )
         now_s = time.monotonic()
-        assert not any(must_read(relay, now_s=now_s) for relay in followers)
+        assert not any(must_read_registry(relay, now_s=now_s) for relay in followers)
         reads = [one for one in fleet.store.calls[len(counts) :] if "servers" in one]
     assert took_s < 0.5
     assert len(reads) <= 12
@@ -57,12 +61,12 @@
 
     The node would send it new work until it ends, and those requests would end with it.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         reader, (follower,) = await wait_for_fleet(fleet)
         real_broadcast = reader.broadcast_change
 
         def drop_changes(message):
-            if not isinstance(message, Changed):
+            if not isinstance(message, RegistryUpdate):
                 real_broadcast(message)
 
         reader.broadcast_change = drop_changes
@@ -73,16 +77,16 @@
             lambda: follower.replicas.replicas["r-0"].entry.is_draining
         )
         fetched = follower.counters.counts["peers.fetched.registry"]
-        fallback = follower.registry.read_s
+        fallback = follower.registry.complete_until_s
     assert took_s < 1.5
     assert fetched >= 1 or fallback > 0
 
 
 async def test_a_reader_that_falls_silent_is_replaced():
     """The reader is gone, and no other node has read for a while."""
-    async with Relayed(relays=3) as fleet:
+    async with RelayDeployment(relays=3) as fleet:
         reader, followers = await wait_for_fleet(fleet)
-        fleet.stops[fleet.relays.index(reader)].set()
+        fleet.stop_events[fleet.relays.index(reader)].set()
         await anyio.sleep(0.2)
         fleet.store.put(
             "keyed.servers", "r-0", fleet.replicas[0].entry(state="draining", seq=2)
@@ -102,10 +106,10 @@
     of two topics. A fleet of ninety sent hundreds of calls a second to a store in
     trouble.
     """
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         fleet.store.down = "busy"
-        fleet.store.wake()
+        fleet.store.notify_readers()
         before = len(fleet.store.calls)
         await anyio.sleep(3.0)
         calls = len(fleet.store.calls) - before
@@ -125,13 +129,13 @@
 
 async def test_a_node_that_starts_among_others_lists_little_at_the_store():
     """A release replaces all nodes, and each of them listed all topics at the store."""
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         reader, _ = await wait_for_fleet(fleet)
         before = len(fleet.store.calls)
         late = await fleet.start_relay()
         calls = fleet.store.calls[before:]
         lists = [one for one in calls if "newest" in one and "nodes" not in one]
-        assert late.table.routing.version == reader.table.routing.version
+        assert late.route_table.routing.version == reader.route_table.routing.version
         assert set(late.replicas.replicas) == set(reader.replicas.replicas)
     assert lists == []
 
@@ -141,14 +145,16 @@
 
     Each node read every version, though only the last one counts.
     """
-    async with Relayed(relays=2) as fleet:
+    async with RelayDeployment(relays=2) as fleet:
         await wait_for_fleet(fleet)
         before = len(fleet.store.calls)
         for version in range(2, 22):
             fleet.store.put("keyed.op", "config", make_config(version=version))
             await anyio.sleep(0.08)
         took_s = await fleet.wait_for(
-            lambda: all(relay.table.routing.version == 21 for relay in fleet.relays)
+            lambda: all(
+                relay.route_table.routing.version == 21 for relay in fleet.relays
+            )
         )
         reads = [one for one in fleet.store.calls[before:] if "keyed.op" in one]
     assert took_s < 1.0
@@ -162,7 +168,7 @@
 
 async def test_a_configuration_is_read_at_few_nodes_and_in_force_at_all():
     """Each node of a fleet used to read each configuration at the store."""
-    async with Relayed(relays=7) as fleet:
+    async with RelayDeployment(relays=7) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         before = len(fleet.store.calls)
@@ -183,14 +189,14 @@
 async def wait_for_version(fleet, relays, version):
     """Wait until a configuration is in force at all nodes; return how long it took."""
     return await fleet.wait_for(
-        lambda: all(relay.table.routing.version == version for relay in relays)
+        lambda: all(relay.route_table.routing.version == version for relay in relays)
     )
 
 
 async def test_a_large_configuration_is_read_from_the_store(monkeypatch):
     """A hub would send 500 kB of configuration to 38 peers over a link of 10 Mbit/s."""
     monkeypatch.setattr(_peer_state, "LINK_MBPS", 0.01)
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         transfers = count_peer_transfers(fleet)
@@ -211,12 +217,14 @@
 async def test_a_node_that_the_store_refuses_gets_a_large_configuration(monkeypatch):
     """The store serves only some nodes; the others must learn of revoked keys too."""
     monkeypatch.setattr(_peer_state, "LINK_MBPS", 0.01)
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
         refused_nodes = [
-            r for r in fleet.relays if not waits_for_operators(r, now_s=now_s)
+            r
+            for r in fleet.relays
+            if not must_wait_for_operator_records(r, now_s=now_s)
         ]
         assert refused_nodes
 
@@ -237,11 +245,13 @@
 
     The others notice, wait for the records themselves, and have them within 2 s.
     """
-    async with Relayed(relays=6) as fleet:
+    async with RelayDeployment(relays=6) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
-        readers = [r for r in fleet.relays if waits_for_operators(r, now_s=now_s)]
+        readers = [
+            r for r in fleet.relays if must_wait_for_operator_records(r, now_s=now_s)
+        ]
         others = [relay for relay in fleet.relays if relay not in readers]
         assert (len(readers), len(others)) == (3, 3)
         frozen = {relay.node for relay in readers}
@@ -263,12 +273,14 @@
     A peer's notice came while the node itself read the same records from the store. It
     was taken for new again and again, and kept the event loop busy.
     """
-    async with Relayed(relays=5) as fleet:
+    async with RelayDeployment(relays=5) as fleet:
         await wait_for_fleet(fleet)
         await finish_initial_waits(fleet)
         now_s = time.monotonic()
         relay = next(
-            one for one in fleet.relays if not waits_for_operators(one, now_s=now_s)
+            one
+            for one in fleet.relays
+            if not must_wait_for_operator_records(one, now_s=now_s)
         )
         looks = []
         is_behind_peers = relay.is_behind_peers
--- a/lycheetide/relay/tests/test_start.py
+++ b/lycheetide/relay/tests/test_start.py
@@ -7,15 +7,15 @@
 import msgspec
 import pytest
 
-from lycheetide.exchange import Batch, Record
-from lycheetide.relay._take import (
+from lycheetide.exchange import Record, RecordBatch
+from lycheetide.relay._apply_records import (
     PEERS_SETTLED_S,
     STARTUP_S,
     apply_batch,
     broadcast_changes,
     is_starting,
 )
-from lycheetide.replicas import Change, ReplicaTable
+from lycheetide.replicas import RegistryChange, ReplicaTable
 from standins.large import make_large_relay
 from standins.replica import Replica
 
@@ -27,7 +27,7 @@
         Record(100 + place, replica.name, encode_entry(replica, state))
         for place, replica in enumerate(replicas)
     )
-    return Batch(records, 100 + count, is_listing=True)
+    return RecordBatch(records, 100 + count, is_listing=True)
 
 
 def encode_entry(replica, state):
@@ -39,7 +39,7 @@
 def apply_first_listing(caplog, batch):
     """Apply a first listing at a new node; return it, its messages and its logs."""
     relay = make_large_relay(1, 0)
-    relay.table = None
+    relay.route_table = None
     relay.replicas = ReplicaTable()
     messages: list = []
     relay.broadcast_change = messages.append
@@ -65,7 +65,7 @@
     leaves = make_listing(1, state="draining")
     (record,) = leaves.records
     later = Record(500, record.key, record.value)
-    apply_batch(relay, "registry", Batch((later,), 501), now_s=time.monotonic())
+    apply_batch(relay, "registry", RecordBatch((later,), 501), now_s=time.monotonic())
     (message,) = messages
     assert [row[1] for row in message.records] == ["r-0"]
 
@@ -78,8 +78,8 @@
     relay, messages, _ = apply_first_listing(caplog, make_listing(3))
     (record,) = make_listing(1, first=7).records
     later = Record(500, record.key, record.value)
-    relay.peers.grown_s = time.monotonic()
-    apply_batch(relay, "registry", Batch((later,), 501), now_s=time.monotonic())
+    relay.peers.last_new_peer_s = time.monotonic()
+    apply_batch(relay, "registry", RecordBatch((later,), 501), now_s=time.monotonic())
     assert messages == []
 
 
@@ -104,7 +104,7 @@
     messages = []
     relay.broadcast_change = lambda message: messages.append("all")
     relay.broadcast_to_domain = lambda message: messages.append("near")
-    change = Change("i-0000000000", 99, None)
+    change = RegistryChange("i-0000000000", 99, None)
     broadcast_changes(relay, [change], now_s=now_s)
     assert messages == ([expected] if expected else [])
 
@@ -114,7 +114,7 @@
     """A release replaces a node every half second, and the reader sent no changes."""
     relay = make_large_relay(3, 1)
     now_s = time.monotonic()
-    relay.peers.grown_s = now_s - (2 * PEERS_SETTLED_S if is_new else 0.0)
+    relay.peers.last_new_peer_s = now_s - (2 * PEERS_SETTLED_S if is_new else 0.0)
     relay.started_s = now_s - (0.1 if is_new else 2 * STARTUP_S)
     assert not is_starting(relay, now_s=now_s)
 
--- a/lycheetide/relay/tests/test_successors.py
+++ b/lycheetide/relay/tests/test_successors.py
@@ -7,9 +7,13 @@
 import httpx
 import pytest
 
-from lycheetide.board import Part, Started, make_job
-from standins.http import Answer
-from standins.relayed import Relayed, make_config, make_patient_config
+from lycheetide.gossip import JobPart, Started, make_job
+from standins.http import Response
+from standins.relay_deployment import (
+    RelayDeployment,
+    make_config,
+    make_long_timeout_config,
+)
 from standins.replica import Replica, make_event
 
 pytestmark = pytest.mark.anyio
@@ -29,18 +33,19 @@
 def script_replicas(replicas, steps, *, pause_s=PAUSE_S):
     """Make the first answers of each replica follow the steps."""
     for replica in replicas:
-        replica.events, replica.script = EVENTS, list(steps)
+        replica.events, replica.next_steps = EVENTS, list(steps)
         replica.long_pause_s = pause_s
 
 
 def add_job(relay, replica, *, read_s=0.0, kv_tokens=0):
-    """Register a job of 20 s at a replica on a node's board."""
+    """Register a job of 20 s at a replica in a node's job table."""
     now_s = time.monotonic()
     started = Started(
-        relay.node, relay.next_job(), (Part(replica, read_s, kv_tokens, True),),
-        lasts_ms=20_000, due_in_ms=300, gap_ms=250, weight_hundredths=100,
+        relay.node, relay.make_attempt_name(),
+        (JobPart(replica, read_s, kv_tokens, True),),
+        expires_in_ms=20_000, due_in_ms=300, gap_ms=250, weight_hundredths=100,
     )  # fmt: skip
-    relay.board.start(make_job(started, now_s=now_s), now_s=now_s)
+    relay.job_table.start(make_job(started, now_s=now_s), now_s=now_s)
 
 
 async def read_stream(fleet, **fields):
@@ -64,14 +69,16 @@
     No other replica may be tried. Guards against ending the attempt before its head
     arrives, by which the caller got 502.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         (relay,) = fleet.relays
         script_replicas(fleet.replicas, ["late"])
 
         async def report_replicas_alive():
             while True:
                 for replica in fleet.replicas:
-                    relay.trust.hear_of(replica.name, now_s=time.monotonic())
+                    relay.failure_detector.note_peer_report(
+                        replica.name, now_s=time.monotonic()
+                    )
                 await anyio.sleep(0.1)
 
         async with anyio.create_task_group() as group:
@@ -90,9 +97,9 @@
     would have continued in time.
     """
     spare = Replica("r-spare", events=EVENTS)
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["pause"])
-        spare.script = [fault]
+        spare.next_steps = [fault]
         async with spare.server.run():
             entry = spare.entry()
             if fault == "unreachable":
@@ -117,7 +124,7 @@
     Guards against moving a stream from a silent replica to one that is known to be no
     better. The caller waits 2 s; the first replica would have continued after 1.6 s.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         (relay,) = fleet.relays
         first, second = fleet.replicas
         script_replicas([first], ["pause"])
@@ -125,7 +132,7 @@
         if known_as == "reading":
             add_job(relay, second.name, read_s=5.0)
         else:
-            relay.trust.suspect(second.name, now_s=time.monotonic())
+            relay.failure_detector.suspect(second.name, now_s=time.monotonic())
         data, longest_pause_s = await read_stream(fleet)
     assert data == WHOLE_STREAM
     assert longest_pause_s < 2.0
@@ -141,7 +148,7 @@
     results = []
     async with (
         spare.server.run(),
-        Relayed(replicas=1, config=make_patient_config()) as fleet,
+        RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet,
     ):
         (relay,) = fleet.relays
         script_replicas(fleet.replicas, ["pause"] * 8)
@@ -166,14 +173,14 @@
     def _take_order(self, order):
         is_new = order["id"] not in self.tickets
         if self.is_full and is_new and order["operation"] == "reserve":
-            return Answer(409, b"{}")
+            return Response(409, b"{}")
         return super()._take_order(order)
 
 
 async def test_a_shared_stream_stays_where_its_memory_is():
     """Guards against leaving a silent replica before memory is reserved at others."""
     replicas = [FullReplica(f"r-{index}") for index in range(5)]
-    fleet = Relayed(replicas=0, config=make_patient_config())
+    fleet = RelayDeployment(replicas=0, config=make_long_timeout_config())
     fleet.replicas += replicas
     async with fleet:
         script_replicas(fleet.replicas, ["pause"])
@@ -195,7 +202,7 @@
     Guards against a second attempt that never reserved memory, while the memory of the
     first attempt stayed reserved for seconds.
     """
-    async with Relayed(replicas=6, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=6, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["silent"])
         for replica in fleet.replicas:
             replica.events = EVENTS
@@ -203,7 +210,7 @@
         async def recover():
             await fleet.wait_for(fleet.runs)
             for replica in fleet.replicas:
-                replica.script = []
+                replica.next_steps = []
 
         async with anyio.create_task_group() as group:
             group.start_soon(recover)
@@ -220,10 +227,10 @@
     Guards against aborting the stream: it never ran at the full replica, and the route
     allows one more attempt.
     """
-    async with Relayed(config=make_patient_config(attempts=3)) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config(attempts=3)) as fleet:
         steps = ["break", "refuse"]
         for replica in fleet.replicas:
-            replica.events, replica.script = EVENTS, steps
+            replica.events, replica.next_steps = EVENTS, steps
         data, _ = await read_stream(fleet)
     assert data == WHOLE_STREAM
 
@@ -234,7 +241,7 @@
     Guards against holding it until its deadline: the caller could retry through another
     node.
     """
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["silent"])
         begun_s = time.monotonic()
         answer = await fleet.look(deadline_ms=4_000)
@@ -248,19 +255,19 @@
     Guards against sending one after the other there, each held until its deadline: a
     replica at which a request stays must become suspected as well.
     """
-    async with Relayed(config=make_patient_config()) as fleet:
+    async with RelayDeployment(config=make_long_timeout_config()) as fleet:
         (relay,) = fleet.relays
         window = relay.retries("models")
         window.ratio, window.extra = 0.0, 0.0
-        fleet.replicas[0].always = "silent"
-        fleet.replicas[1].always = ""
+        fleet.replicas[0].default_step = "silent"
+        fleet.replicas[1].default_step = ""
         statuses = [(await fleet.look(deadline_ms=1_500)).status_code for _ in range(4)]
     assert statuses.count(200) >= 3
 
 
 async def test_a_stream_that_stays_ends_at_its_time_limit():
     """Guards against holding a stream at a silent replica beyond its deadline."""
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["stall"])
         begun_s = time.monotonic()
         with pytest.raises(httpx.RemoteProtocolError):
@@ -271,7 +278,7 @@
 
 async def test_a_replica_stops_when_the_caller_of_a_silent_stream_leaves():
     """Guards against a replica working on after the caller of a silent stream left."""
-    async with Relayed(replicas=1, config=make_patient_config()) as fleet:
+    async with RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet:
         script_replicas(fleet.replicas, ["stall"])
         (replica,) = fleet.replicas
         async with fleet.open_stream(deadline_ms=10_000) as answer:
@@ -290,7 +297,7 @@
     spare = Replica("r-spare", events=EVENTS)
     async with (
         spare.server.run(),
-        Relayed(replicas=1, config=make_patient_config()) as fleet,
+        RelayDeployment(replicas=1, config=make_long_timeout_config()) as fleet,
     ):
         script_replicas(fleet.replicas, ["break"])
         async with fleet.open_stream(deadline_ms=10_000) as answer:
@@ -299,7 +306,7 @@
         await anyio.sleep(0.2)
         fleet.store.put("keyed.servers", spare.name, spare.entry())
         await anyio.sleep(1.5)
-        assert spare.seen == []
+        assert spare.received == []
 
 
 @pytest.mark.parametrize("replicas", [1, 2])
@@ -308,7 +315,9 @@
 
     Guards against aborting a stream that is running.
     """
-    async with Relayed(replicas=replicas, config=make_patient_config()) as fleet:
+    async with RelayDeployment(
+        replicas=replicas, config=make_long_timeout_config()
+    ) as fleet:
         (relay,) = fleet.relays
         script_replicas(fleet.replicas, ["pause"])
 
@@ -327,7 +336,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(configure)
             data, _ = await read_stream(fleet)
-        assert relay.table.routing.version == 2
+        assert relay.route_table.routing.version == 2
     assert data == WHOLE_STREAM
 
 
@@ -336,7 +345,7 @@
 
     Guards against a stream trying three dead replicas one after the other, for 0.4 s.
     """
-    async with Relayed(relays=2, config=make_patient_config()) as fleet:
+    async with RelayDeployment(relays=2, config=make_long_timeout_config()) as fleet:
         await fleet.wait_for(
             lambda: all(
                 len(relay.peers.alive(now_s=time.monotonic())) == 1
@@ -345,14 +354,16 @@
         )
         steps = ["break"]
         for replica in fleet.replicas:
-            replica.events, replica.script = EVENTS, steps
+            replica.events, replica.next_steps = EVENTS, steps
         data, _ = await read_stream(fleet)
         (broken,) = [
             name
             for name in ("r-0", "r-1")
-            if math.isfinite(fleet.relays[0].trust.troubled_s(name))
+            if math.isfinite(fleet.relays[0].failure_detector.last_failure_s(name))
         ]
         other = fleet.relays[1]
-        await fleet.wait_for(lambda: math.isfinite(other.trust.troubled_s(broken)))
-        assert not other.trust.is_suspect(broken, now_s=time.monotonic())
+        await fleet.wait_for(
+            lambda: math.isfinite(other.failure_detector.last_failure_s(broken))
+        )
+        assert not other.failure_detector.is_suspect(broken, now_s=time.monotonic())
     assert data == WHOLE_STREAM
--- a/lycheetide/routing/tests/test_dispatch.py
+++ b/lycheetide/routing/tests/test_dispatch.py
@@ -3,14 +3,14 @@
 import pytest
 
 from lycheetide.fleet import Customer, FailureDomain, Fleet, RequestClass, Upstream
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.routing import (
     RetryDecision,
     authenticate,
     check_dispatch,
     decide_retry,
-    find_class,
     find_deadline,
+    find_request_class,
     is_fresh,
     rank_cells,
     split_prompt,
@@ -49,7 +49,7 @@
 
 
 def test_a_node_that_can_not_know_the_configuration_sends_nothing():
-    with pytest.raises(NotRun) as caught:
+    with pytest.raises(NotRunError) as caught:
         check(make_fleet(), fresh=False)
     assert caught.value.reason is Reason.NOT_FRESH
 
@@ -62,7 +62,7 @@
     log_age_s, majority, expected
 ):
     fresh = is_fresh(
-        log_asked_s=100.0 - log_age_s, majority_heard=majority, now_s=100.0,
+        log_read_started_s=100.0 - log_age_s, majority_heard=majority, now_s=100.0,
         within_s=2.0,
     )  # fmt: skip
     assert fresh is expected
@@ -72,8 +72,8 @@
     ("fields", "expected"),
     [
         ({}, RetryDecision.RETRY),
-        ({"started_maybe": True}, RetryDecision.RETRY),
-        ({"started_maybe": True, "repeatable": False}, RetryDecision.GIVE_UP),
+        ({"may_have_started": True}, RetryDecision.RETRY),
+        ({"may_have_started": True, "repeatable": False}, RetryDecision.GIVE_UP),
         ({"attempts": 4}, RetryDecision.GIVE_UP),
         ({"left_s": 0.0}, RetryDecision.GIVE_UP),
         ({"spend": lambda: False}, RetryDecision.GIVE_UP),
@@ -81,7 +81,7 @@
 )
 def test_what_is_tried_again(fields, expected):
     values = {
-        "attempts": 1, "started_maybe": False, "repeatable": True, "left_s": 5.0,
+        "attempts": 1, "may_have_started": False, "repeatable": True, "left_s": 5.0,
         "spend": lambda: True,
     }  # fmt: skip
     assert decide_retry(**(values | fields)) is expected
@@ -94,7 +94,7 @@
         raise AssertionError("the budget was touched")
 
     decide_retry(
-        attempts=1, started_maybe=True, repeatable=False, left_s=5.0, spend=spend
+        attempts=1, may_have_started=True, repeatable=False, left_s=5.0, spend=spend
     )
 
 
@@ -102,7 +102,7 @@
     assert find_deadline("", QUOTE, now_s=5.0) == 25.0
     assert find_deadline("1500", QUOTE, now_s=5.0) == 6.5
     for header, reason in (("0", "deadline_past"), ("soon", "bad_deadline")):
-        with pytest.raises(NotRun) as caught:
+        with pytest.raises(NotRunError) as caught:
             find_deadline(header, QUOTE, now_s=5.0)
         assert caught.value.reason == reason
 
@@ -112,14 +112,14 @@
     customers = [Customer("kestrel", digest)]
     assert authenticate("Bearer secret", customers).name == "kestrel"
     for header in ("", "secret", "Bearer", "Bearer other", "Basic secret"):
-        with pytest.raises(NotRun):
+        with pytest.raises(NotRunError):
             authenticate(header, customers)
 
 
 def test_a_request_without_a_class_gets_the_last_one():
     classes = {"quote": QUOTE, "archive": RequestClass("archive", priority=2)}
-    assert find_class("", classes).name == "archive"
-    assert find_class("quote", classes) is QUOTE
+    assert find_request_class("", classes).name == "archive"
+    assert find_request_class("quote", classes) is QUOTE
 
 
 def test_equal_cells_are_not_all_asked_by_everybody():
--- a/lycheetide/scheduling/_cell.py
+++ b/lycheetide/scheduling/_cell.py
@@ -7,7 +7,7 @@
 from lycheetide.charts import load_chart
 from lycheetide.fleet import takes_new_work
 from lycheetide.membership import CellSummary
-from lycheetide.outcomes import NotRun, Reason
+from lycheetide.outcomes import NotRunError, Reason
 from lycheetide.scheduling._choose import (
     choose_draining,
     choose_replicas,
@@ -17,11 +17,11 @@
 from lycheetide.scheduling._limits import count_open_slots, needs_confirmation
 from lycheetide.scheduling._order import order_tickets
 from lycheetide.scheduling._types import (
+    LoadReport,
     Permit,
-    Policy,
     ReplicaLoad,
     ReplicaState,
-    Report,
+    SchedulingPolicy,
 )
 
 CHART = load_chart("upstream")
@@ -42,14 +42,14 @@
         The name of the cell.
     owner_id : str
         The owner's member id, which makes permit ids unique.
-    policy : Policy
+    policy : SchedulingPolicy
         The parameters of the scheduling policy.
     """
 
     def __init__(self, name, *, owner_id, policy=None):
         self.name = name
         self.owner_id = owner_id
-        self.policy = policy or Policy()
+        self.policy = policy or SchedulingPolicy()
         self.replicas = {}
         self.tickets = {}
         self.permits = {}
@@ -84,10 +84,10 @@
             del self.replicas[name]
             self.met.pop(name, None)
 
-    def take_report(self, name, report, *, asked_s, now_s):
+    def apply_report(self, name, report, *, asked_s, now_s):
         """Apply a load report that was requested at ``asked_s``."""
         current = self.replicas.get(name)
-        if current is None or asked_s < current.proved_s:
+        if current is None or asked_s < current.report_asked_s:
             return
         self._update_accepted(current, report, asked_s)
         report = replace(report, at_s=asked_s)
@@ -106,16 +106,16 @@
         )
         self.replicas[name] = replace(
             current,
-            phase=CHART.step(current.phase, event),
+            phase=CHART.next_state(current.phase, event),
             boot_id=report.boot_id,
-            proved_s=asked_s,
+            report_asked_s=asked_s,
             ramp_limit=ramp,
             report=report,
             short_backlog_until_s=asked_s + short_backlog_s,
             huge_backlog_until_s=asked_s + huge_backlog_s,
         )
 
-    def take_met(self, name, boot_id, request_ids, *, asked_s):
+    def record_accepted_requests(self, name, boot_id, request_ids, *, asked_s):
         """Record which requests an upstream's current process has accepted.
 
         Parameters
@@ -137,12 +137,12 @@
         current = self.replicas.get(name)
         if current is None or current.boot_id != boot_id:
             return False
-        if asked_s >= current.proved_s:
-            report = Report(boot_id, warm=True, met=frozenset(request_ids))
+        if asked_s >= current.report_asked_s:
+            report = LoadReport(boot_id, warm=True, met=frozenset(request_ids))
             self._update_accepted(current, report, asked_s)
         return True
 
-    def note_met(self, permit_id, name, boot_id):
+    def record_accepted_permit(self, permit_id, name, boot_id):
         """Record that an upstream accepted a permit's request, as its entry node saw.
 
         Returns
@@ -156,7 +156,7 @@
         self.met.setdefault(name, set()).add(permit_id)
         return True
 
-    def is_short_of_proof(self, names):
+    def is_awaiting_confirmation(self, names):
         """Tell whether any of the replicas needs a confirmation for further grants."""
         return bool(self._list_unconfirmed(set(names).intersection(self.replicas)))
 
@@ -221,11 +221,11 @@
         """Tell whether a request's prompt counts as huge."""
         return ticket.prompt_tokens >= self.policy.huge_tokens
 
-    def take_silence(self, name):
+    def mark_silent(self, name):
         """Record that a replica did not answer."""
         self._mark_unavailable(name, "went_silent")
 
-    def take_break(self, name):
+    def mark_broken(self, name):
         """Record that a replica broke a connection; it may have restarted cold.
 
         It is granted nothing until its next report, which is requested at once.
@@ -239,11 +239,11 @@
         current = self.replicas.get(name)
         if current is None:
             return
-        phase = CHART.step(current.phase, event)
+        phase = CHART.next_state(current.phase, event)
         ramp = current.upstream.cold_limit_requests
         self.replicas[name] = replace(current, phase=phase, ramp_limit=ramp)
 
-    def ask(self, ticket, *, now_s):
+    def enqueue(self, ticket, *, now_s):
         """Add a request to the queue, or refuse it.
 
         Parameters
@@ -255,7 +255,7 @@
 
         Raises
         ------
-        NotRun
+        NotRunError
             If the request can't be served before its deadline, is too large for the
             replicas, or exceeds the customer's limit, or if no replica is open.
         """
@@ -273,7 +273,7 @@
         remaining_s = ticket.deadline_s - now_s
         if wait_s > remaining_s:
             retry_delay_s = min(30.0, max(0.5, wait_s - remaining_s))
-            raise NotRun(
+            raise NotRunError(
                 Reason.OVERLOADED,
                 f"estimated time to process the prompt is {wait_s:.1f} s, "
                 f"but the deadline is in {remaining_s:.1f} s",
@@ -289,17 +289,19 @@
         owner, some hundred times a day.
         """
         return sum(
-            replica.is_open and CHART.has(replica.phase, "unknown")
+            replica.is_open and CHART.has_flag(replica.phase, "unknown")
             for replica in self.replicas.values()
         )
 
     def _check_fits(self, ticket, loads, unreported):
         """Refuse a request that the cell's replicas together could not hold."""
         if not loads and not unreported:
-            raise NotRun(Reason.NO_CAPACITY, "no replica is open", retry_after_s=2.0)
+            raise NotRunError(
+                Reason.NO_CAPACITY, "no replica is open", retry_after_s=2.0
+            )
         segments = count_segments(ticket, loads, self.policy)
         if segments > len(loads) + unreported:
-            raise NotRun(
+            raise NotRunError(
                 Reason.PROMPT_TOO_LONG,
                 f"{ticket.total_tokens} tokens require {segments} replicas, "
                 f"but only {len(loads)} are open",
@@ -314,7 +316,7 @@
             if other.customer == ticket.customer
         )
         if waiting and waiting + ticket.prompt_tokens > ticket.waiting_limit_tokens:
-            raise NotRun(
+            raise NotRunError(
                 Reason.CUSTOMER_LIMIT,
                 f"{waiting} tokens of this customer are already queued, "
                 f"its limit is {ticket.waiting_limit_tokens}",
@@ -504,7 +506,7 @@
         self.permits.pop(permit_id, None)
         self.lost_permits.pop(permit_id, None)
 
-    def drop_lost(self, *, now_s, ticket_s, permit_s):
+    def drop_expired(self, *, now_s, ticket_s, permit_s):
         """Drop expired tickets, and mark permits that were not renewed as lost.
 
         A lost permit still counts towards the load of its replicas until the engine is
@@ -518,7 +520,7 @@
             if now_s - permit.renewed_s > permit_s:
                 self.lost_permits[permit.permit_id] = self.permits.pop(permit.permit_id)
 
-    def end_lost(self, name, held_request_ids):
+    def release_lost_permits(self, name, held_request_ids):
         """Release lost permits at a replica that no longer holds anything for them."""
         for permit_id, permit in list(self.lost_permits.items()):
             if name not in permit.replicas:
@@ -538,7 +540,7 @@
                 permit, replicas=replicas, tokens=tokens
             )
 
-    def find_unproved(self):
+    def find_unconfirmed(self):
         """Return the replicas that need a confirmation for further grants.
 
         Empty if no request is queued.
@@ -567,7 +569,7 @@
 
 def _is_usable(replica):
     """Tell whether a replica may be granted any requests."""
-    return replica.is_open and not CHART.has(replica.phase, "closed")
+    return replica.is_open and not CHART.has_flag(replica.phase, "closed")
 
 
 def _make_replica(upstream, is_open, now_s):
@@ -577,9 +579,9 @@
         is_open=is_open,
         phase=CHART.initial,
         boot_id="",
-        proved_s=now_s - 1.0,
+        report_asked_s=now_s - 1.0,
         ramp_limit=upstream.cold_limit_requests,
-        report=Report(boot_id="", warm=False, at_s=now_s - 1.0),
+        report=LoadReport(boot_id="", warm=False, at_s=now_s - 1.0),
         short_backlog_until_s=now_s,
         huge_backlog_until_s=now_s,
     )
--- a/lycheetide/model/_engine_simulation.py
+++ b/lycheetide/simulation/_engine_simulation.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from lycheetide.fleet import FailureDomain, Upstream
-from lycheetide.model._engine import BatchingEngine, EngineJob
-from lycheetide.outcomes import NotRun
-from lycheetide.scheduling import Report, Ticket
+from lycheetide.outcomes import NotRunError
+from lycheetide.scheduling import LoadReport, Ticket
+from lycheetide.simulation._engine import BatchingEngine, EngineJob
 
 # Time from the decision until a request reaches its engines.
 DISPATCH_S = 0.002
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class RequestResult:
+class SimulatedRequest:
     """Result of one simulated request.
 
     Parameters
@@ -113,7 +113,7 @@
             for u in self.upstreams
         }
         self.running: dict[str, _RunningRequest] = {}
-        self.results: dict[int, RequestResult] = {}
+        self.results: dict[int, SimulatedRequest] = {}
         self.plan = list(plan)
         self.waiting: dict[str, Any] = {}
         self.extra_report_asked_s: dict[str, float] = {}
@@ -186,7 +186,7 @@
         self.schedule(ticket.deadline_s, self._cancel_at_deadline, ticket.request_id)
         try:
             self.scheduler.arrive(ticket, now_s)
-        except NotRun:
+        except NotRunError:
             self._record_result(now_s, ticket.request_id, "refused", None)
             return
         self._dispatch(now_s)
@@ -194,7 +194,7 @@
     def _dispatch(self, now_s):
         for ticket, names in list(self.scheduler.decide(now_s)):
             self.schedule(now_s + DISPATCH_S, self._start, ticket, names)
-        for name in self.scheduler.find_unproved():
+        for name in self.scheduler.find_unconfirmed():
             if (
                 now_s - self.extra_report_asked_s.get(name, -1.0)
                 >= EXTRA_REPORT_SPACING_S
@@ -286,7 +286,7 @@
         self, now_s, request_id, outcome, first_token_s, has_cache_hit=False
     ):
         request = self.waiting.pop(request_id)
-        self.results[request.seed] = RequestResult(
+        self.results[request.seed] = SimulatedRequest(
             request,
             outcome,
             None if first_token_s is None else first_token_s - request.at_s,
@@ -296,7 +296,7 @@
 
     def _make_report(self, name):
         engine = self.engines[name]
-        return Report(
+        return LoadReport(
             f"b{engine.boot}",
             True,
             running=engine.running(),
@@ -353,7 +353,7 @@
 
     Returns
     -------
-    list of RequestResult
+    list of SimulatedRequest
         In the order of the plan. The same arguments always give the same list.
     """
     return _EngineSimulation(
--- a/lycheetide/model/_passes.py
+++ b/lycheetide/simulation/_pass_engine.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lycheetide.placement import pass_s
-from lycheetide.routes import Engine
+from lycheetide.placement import estimate_pass_s
+from lycheetide.routes import EngineProfile
 
 CHUNK_TOKENS = 2_048
 """Largest number of prompt tokens prefilled in one step, as in the platform's
@@ -63,13 +63,13 @@
 
     Parameters
     ----------
-    engine : Engine
+    engine : EngineProfile
         Its performance figures.
     slots : int
         Number of requests that it processes at once.
     """
 
-    engine: Engine
+    engine: EngineProfile
     slots: int
     waiting: list[PrefillTask] = field(default_factory=list)
     prefilling: list[PrefillTask] = field(default_factory=list)
@@ -102,7 +102,7 @@
             read.remaining_s -= part_s
             prefill_s += part_s
         context = sum(writer.context_tokens for writer in self._decoding)
-        duration_s = pass_s(self.engine, len(self._decoding), context)
+        duration_s = estimate_pass_s(self.engine, len(self._decoding), context)
         self.pass_ends_s = now_s + duration_s + prefill_s
 
     def _admit(self):
--- a/lycheetide/upstreams/_errors.py
+++ b/lycheetide/upstreams/_errors.py
@@ -6,31 +6,31 @@
 
     Attributes
     ----------
-    started_maybe : bool
+    may_have_started : bool
         Whether the upstream may have started the request.
     """
 
-    started_maybe = True
+    may_have_started = True
 
 
-class UpstreamUnreached(UpstreamError):
+class UpstreamConnectError(UpstreamError):
     """No connection could be opened, so nothing of the request was sent."""
 
-    started_maybe = False
+    may_have_started = False
 
 
-class UpstreamRefused(UpstreamError):
+class UpstreamRefusedError(UpstreamError):
     """The upstream reported that it did not start the request."""
 
-    started_maybe = False
+    may_have_started = False
 
 
-class UpstreamBroke(UpstreamError):
+class UpstreamBrokenError(UpstreamError):
     """The connection broke, or the response was malformed or reported an error.
 
     The request may have been sent, and the upstream may have run it.
     """
 
 
-class UpstreamSilent(UpstreamError):
+class UpstreamTimeoutError(UpstreamError):
     """The upstream sent nothing for too long after it got the request."""
