--- a/lycheetide/relay/_attempt.py
+++ b/lycheetide/relay/_attempt.py
@@ -215,7 +215,7 @@
         await relay.pool.forget(first.address)
         relay.counters.add("retries.kept_connection")
         relay.log.info(
-            "A kept connection was closed; the request goes out on a new one.",
+            "A persistent connection was closed; the request is sent on a new one.",
             extra={"request": call.request.attempt_id, "replica": first.id},
         )
 
@@ -276,10 +276,12 @@
     if answer.attempt_id != call.request.attempt_id:
         raise AttemptFailed(
             Cause.WRONG_ANSWER,
-            f"got the answer to {answer.attempt_id!r}",
+            f"received the response to attempt {answer.attempt_id!r}",
             may_have_run=True,
         )
     if not answer.is_sealed or answer.is_encoded:
         raise AttemptFailed(
-            Cause.WRONG_ANSWER, "not the replica's own bytes", may_have_run=True
+            Cause.WRONG_ANSWER,
+            "the response lacks the replica's seal or has a content encoding",
+            may_have_run=True,
         )
--- a/lycheetide/relay/_gossip.py
+++ b/lycheetide/relay/_gossip.py
@@ -406,7 +406,7 @@
         """Log the number of new peers; one line per peer would grow quadratically."""
         if self._new_peer_count:
             self.relay.log.info(
-                "Peers are there.",
+                "New peers were found.",
                 extra={"new": self._new_peer_count, "living": living},
             )
             self._new_peer_count = 0
@@ -431,7 +431,10 @@
                 relay.adapter.NODES, -1, wait_s=0.0, timeout_s=DISCOVER_RETRY_S
             )
         except StoreUnavailable as error:
-            relay.log.info("Peers can't be looked up.", extra={"cause": str(error)})
+            relay.log.info(
+                "Looking up peers in the store failed; retrying.",
+                extra={"cause": str(error)},
+            )
             await anyio.sleep(DISCOVER_RETRY_S)
             continue
         for record in batch.records:
--- a/lycheetide/relay/_patience.py
+++ b/lycheetide/relay/_patience.py
@@ -167,7 +167,7 @@
         suspect(relay, replica, "silent")
         relay.counters.add(f"stayed.{denial}")
         relay.log.info(
-            "A request stays at a silent replica.",
+            "A request keeps waiting for a silent replica.",
             extra={
                 "request": call.request.attempt_id,
                 "replica": replica,
--- a/lycheetide/relay/_peer_state.py
+++ b/lycheetide/relay/_peer_state.py
@@ -75,7 +75,8 @@
         batch = await request_topic(relay, address, target)
     except (ConnectFailed, ChannelBroken, msgspec.MsgspecError) as error:
         relay.log.info(
-            "A peer gave no state.", extra={"peer": address, "cause": str(error)}
+            "Fetching state from a peer failed.",
+            extra={"peer": address, "cause": str(error)},
         )
         return
     relay.counters.add(f"peers.gave.{name}")
--- a/lycheetide/relay/_place.py
+++ b/lycheetide/relay/_place.py
@@ -233,7 +233,7 @@
     if placement is not None and harm > placement.worth:
         retry_delay_s = max(retry_delay_s, call.route.target_latency_s)
     relay.log.info(
-        "A request finds no place.",
+        "A request could not be placed.",
         extra={"request": call.request.attempt_id, "cause": str(cause),
                "open_replicas": len(candidates), "waits_ms": round(waits_s * 1e3),
                "harm": round(harm, 1), "sent": call.sent},
--- a/lycheetide/relay/_reload.py
+++ b/lycheetide/relay/_reload.py
@@ -68,13 +68,15 @@
         reject_settings(relay, [str(error) for error in group.exceptions])
         return
     if not isinstance(requested, RelaySettings):
-        reject_settings(relay, ["got a file without [relay], expected a relay's"])
+        reject_settings(
+            relay, ["the file has no [relay] section, which a relay requires"]
+        )
         return
     settings, needs_restart = merge_settings(relay.settings, requested)
     relay.apply_settings(settings)
     relay.counters.add("settings.reloaded")
     relay.log.info(
-        "The settings were read again.", extra={"need_a_restart": needs_restart}
+        "The settings were reloaded.", extra={"need_a_restart": needs_restart}
     )
 
 
@@ -82,7 +84,8 @@
     """Count and log a settings file that can't be used."""
     relay.counters.add("settings.broken")
     relay.log.error(
-        "The settings file is broken; nothing changes.", extra={"findings": findings}
+        "The settings file can't be used; the current settings stay in force.",
+        extra={"findings": findings},
     )
 
 
--- a/lycheetide/relay/_retries.py
+++ b/lycheetide/relay/_retries.py
@@ -37,7 +37,7 @@
         return True
     relay.counters.add(f"not_retried.{denial}")
     relay.log.info(
-        "A request isn't tried again.",
+        "A request is not retried.",
         extra={
             "request": call.request.attempt_id,
             "why": str(denial),
--- a/lycheetide/relay/_run.py
+++ b/lycheetide/relay/_run.py
@@ -151,7 +151,7 @@
                 took_ms[name] = (read_clock() - relay.started_s) * 1e3
         await anyio.sleep(START_POLL_S)
     extra = {name: round(value) for name, value in took_ms.items()}
-    relay.log.info("The node takes callers.", extra=extra)
+    relay.log.info("The node is ready for requests.", extra=extra)
 
 
 def list_apps(relay):
--- a/lycheetide/relay/_serve.py
+++ b/lycheetide/relay/_serve.py
@@ -90,7 +90,7 @@
     if not scope.cancelled_caught:
         return
     if reply.is_started:
-        raise StreamAborted("its time is up")
+        raise StreamAborted("the deadline passed before the response was complete")
     refusal = make_refusal(call, Cause.DEADLINE)
     if call.may_have_run or call.sent:
         refusal = Refusal(504, Cause.DEADLINE)
--- a/lycheetide/relay/_stream.py
+++ b/lycheetide/relay/_stream.py
@@ -295,7 +295,9 @@
                 )
             event_timeout_s = SILENCE_MARGIN_S + pass_s(engine, 1)
     if splitter.rest.strip():
-        raise AttemptFailed(Cause.BROKEN, "ended within an event", may_have_run=True)
+        raise AttemptFailed(
+            Cause.BROKEN, "the stream ended within an event", may_have_run=True
+        )
 
 
 async def _forward_event(relay, call, reply, progress, stream_attempt, event):
@@ -313,7 +315,8 @@
         if number > progress.last_number + 1:
             raise AttemptFailed(
                 Cause.WRONG_ANSWER,
-                f"event {number} follows {progress.last_number}",
+                f"event {number} follows event {progress.last_number}, "
+                "the events between are missing",
                 may_have_run=True,
             )
     stream_attempt.cancel_others()
--- a/lycheetide/relay/_take.py
+++ b/lycheetide/relay/_take.py
@@ -84,7 +84,10 @@
             )  # fmt: skip
     if closed != relay.closed:
         relay.closed = frozenset(closed)
-        relay.log.info("Failure domains are out.", extra={"domains": sorted(closed)})
+        relay.log.info(
+            "The set of closed failure domains changed.",
+            extra={"domains": sorted(closed)},
+        )
     relay.trigger_heartbeat()
 
 
@@ -96,7 +99,7 @@
         except msgspec.MsgspecError as error:
             relay.counters.add("config.broken")
             relay.log.error(
-                "A configuration can't be read.",
+                "A configuration record can't be decoded; it is skipped.",
                 extra={"offset": record.offset, "cause": str(error)},
             )
 
@@ -131,7 +134,9 @@
     that received a change from a peer log it at debug level.
     """
     if is_first:
-        relay.log.info("The replicas are known.", extra={"count": len(changes)})
+        relay.log.info(
+            "The initial list of replicas was loaded.", extra={"count": len(changes)}
+        )
         return
     level = logging.INFO if is_read else logging.DEBUG
     for change in changes:
--- a/lycheetide/relay/_tickets.py
+++ b/lycheetide/relay/_tickets.py
@@ -121,7 +121,9 @@
             await anyio.sleep(RETRY_PAUSE_S * (0.5 + relay.random.random() / 2))
     finally:
         queue_entry.leave()
-    raise MemoryUnavailable(f"{call.size.tokens} tokens were not to be had")
+    raise MemoryUnavailable(
+        f"memory for {call.size.tokens} tokens could not be reserved"
+    )
 
 
 class _QueueEntry:
@@ -211,7 +213,7 @@
         relay.tasks.start_soon(_release, relay, replica.address, ticket)
     relay.counters.add("tickets.refused")
     relay.log.info(
-        "Memory was refused.",
+        "A memory reservation failed.",
         extra={"request": call.request.attempt_id, "tokens": call.size.tokens,
                "replicas": [one.id for one, ticket, _ in wanted_shares
                             if not results[ticket]]},
@@ -229,7 +231,8 @@
             return head.status
     except (ConnectFailed, ChannelBroken, TimeoutError) as error:
         relay.log.info(
-            "An order got no answer.", extra={"address": address, "cause": str(error)}
+            "A replica did not answer a reserve or release order.",
+            extra={"address": address, "cause": str(error)},
         )
         relay.counters.add("orders.unanswered")
         return UNREACHABLE
--- a/lycheetide/routing/_admission.py
+++ b/lycheetide/routing/_admission.py
@@ -130,7 +130,11 @@
             status=400,
         ) from None
     if left_s <= 0:
-        raise NotRun(Reason.DEADLINE_PAST, "no time was left on arrival", status=504)
+        raise NotRun(
+            Reason.DEADLINE_PAST,
+            "the deadline had passed when the request arrived",
+            status=504,
+        )
     return now_s + min(left_s, MAX_DEADLINE_S)
 
 
--- a/lycheetide/tasks/_guard.py
+++ b/lycheetide/tasks/_guard.py
@@ -29,7 +29,9 @@
             await part(node, *args)
         except Exception:
             name = part.__name__
-            log.exception("A part has failed; it starts again.", extra={"part": name})
+            log.exception(
+                "A background task has failed; it is restarted.", extra={"part": name}
+            )
             node.counters.add(f"node.part_failed.{name}")
         await anyio.sleep(RESTART_S)
 
