--- a/lycheetide/tasks/_standstill.py
+++ b/lycheetide/tasks/_standstill.py
@@ -53,6 +53,6 @@
         if stalled_s:
             node.counters.add("node.stood_still")
             log.info(
-                "The process was stalled.", extra={"for_ms": round(stalled_s * 1e3)}
+                "The process stood still.", extra={"for_ms": round(stalled_s * 1e3)}
             )
         await anyio.sleep(TICK_S)
