--- a/lycheetide/node/_lookups.py
+++ b/lycheetide/node/_lookups.py
@@ -46,7 +46,7 @@
         The operation to call.
     body : bytes
         Body of the request.
-    may_have_started : bool
+    ever_started : bool
         Whether any upstream may have started the call.
     attempts : int
         Number of failed attempts.
@@ -60,7 +60,7 @@
     admitted: Any
     operation: Any
     body: bytes
-    may_have_started: bool = False
+    ever_started: bool = False
     attempts: int = 0
     avoid: list[str] = field(default_factory=list)
     successor: Any = None
@@ -96,14 +96,14 @@
         try:
             return await _attempt_until_done(node, run)
         except NotRunError as error:
-            if not run.may_have_started:
+            if not run.ever_started:
                 raise
             raise RequestFailedError(
                 error.reason, error.message, retry_after_s=error.retry_after_s
             ) from error
         finally:
             release_successor(node, run)
-    error_type = RequestFailedError if run.may_have_started else NotRunError
+    error_type = RequestFailedError if run.ever_started else NotRunError
     raise error_type(
         Reason.DEADLINE, "the deadline has passed", retry_after_s=RETRY_AFTER_S
     )
@@ -123,12 +123,12 @@
                 release_permit(node, held)
                 await anyio.sleep(STALE_PERMIT_DELAY_S)
                 continue
-            was_started = run.may_have_started
-            run.may_have_started = True
+            was_started = run.ever_started
+            run.ever_started = True
             try:
                 return await _send(node, run, replicas)
             except UpstreamError as error:
-                run.may_have_started = was_started or error.may_have_started
+                run.ever_started = was_started or error.may_have_started
                 raise
         except UpstreamError as error:
             run.attempts += 1
@@ -176,7 +176,7 @@
     if decide_next_attempt(node, run, error) is RetryDecision.RETRY:
         node.counters.add_retry(find_retry_reason(error))
         return
-    error_type = RequestFailedError if run.may_have_started else NotRunError
+    error_type = RequestFailedError if run.ever_started else NotRunError
     raise error_type(
         Reason.UPSTREAM_BROKE, str(error), retry_after_s=RETRY_AFTER_S, status=502
     ) from error
--- a/lycheetide/node/_prompts.py
+++ b/lycheetide/node/_prompts.py
@@ -84,7 +84,7 @@
         The prompt.
     lifecycle_state : str
         State in the request chart (``charts/request.toml``).
-    may_have_started : bool
+    ever_started : bool
         Whether any upstream may have started to execute the request.
     check : StreamCheck
         Sequence check of the answer, which holds the next expected token.
@@ -102,7 +102,7 @@
     admitted: Any
     prompt: Prompt
     lifecycle_state: str = CHART.initial
-    may_have_started: bool = False
+    ever_started: bool = False
     check: StreamCheck = field(default_factory=lambda: StreamCheck(""))
     attempts: int = 0
     avoid: list[str] = field(default_factory=list)
@@ -156,7 +156,7 @@
             )
     except NotRunError as error:
         run.step("gave_up")
-        if not run.may_have_started:
+        if not run.ever_started:
             raise
         raise RequestFailedError(
             error.reason, error.message, retry_after_s=error.retry_after_s
@@ -207,7 +207,7 @@
 
 def _prepare_retry(node, run, replicas, error):
     """Prepare another attempt after ``error``, or raise if none is allowed."""
-    run.may_have_started = run.may_have_started or error.may_have_started
+    run.ever_started = run.ever_started or error.may_have_started
     run.attempts += 1
     decision = decide_next_attempt(node, run, error)
     reason = find_retry_reason(error)
@@ -216,7 +216,7 @@
         reason=reason, cause=str(error), decision=decision, replicas=list(replicas),
     )  # fmt: skip
     if decision is RetryDecision.GIVE_UP:
-        error_type = RequestFailedError if run.may_have_started else NotRunError
+        error_type = RequestFailedError if run.ever_started else NotRunError
         raise error_type(
             _find_reason(error), str(error), retry_after_s=RETRY_AFTER_S, status=502
         ) from error
@@ -349,7 +349,7 @@
 
     if CHART.has_flag(run.lifecycle_state, "unsent"):
         run.step("dispatched")
-    run.may_have_started = True
+    run.ever_started = True
     async with anyio.create_task_group() as group:
         for index in range(len(handles)):
             group.start_soon(read, index)
@@ -410,10 +410,10 @@
     except UpstreamConnectError:
         raise
     except UpstreamError as error:
-        run.may_have_started = run.may_have_started or error.may_have_started
+        run.ever_started = run.ever_started or error.may_have_started
         raise
     except BaseException:
-        run.may_have_started = True
+        run.ever_started = True
         raise
     if not whole:
         raise UpstreamBrokenError("the answer ended without an end marker")
