--- a/lycheetide/placement/__init__.py
+++ b/lycheetide/placement/__init__.py
@@ -23,7 +23,7 @@
 )
 from lycheetide.placement._memory import (
     count_reservable_tokens,
-    needs_shared_memory,
+    needs_several_replicas,
     share_memory,
 )
 from lycheetide.placement._pack import SHORT_PREFILL_S, estimate_unknown_requests
@@ -60,7 +60,7 @@
     "estimate_prefill_s",
     "estimate_unknown_requests",
     "may_send",
-    "needs_shared_memory",
+    "needs_several_replicas",
     "place_plain_request",
     "place_prompt",
     "rank_replicas",
--- a/lycheetide/placement/_memory.py
+++ b/lycheetide/placement/_memory.py
@@ -12,7 +12,7 @@
 is smaller, since this replica also generates the answer."""
 
 
-def needs_shared_memory(engine, tokens):
+def needs_several_replicas(engine, tokens):
     """Return whether a request needs more memory than one replica may give it."""
     return tokens > MAX_MEMORY_SHARE * engine.kv_tokens
 
--- a/lycheetide/placement/_spread.py
+++ b/lycheetide/placement/_spread.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from lycheetide.placement._estimate import estimate_pass_s, estimate_prefill_s
-from lycheetide.placement._memory import needs_shared_memory, share_memory
+from lycheetide.placement._memory import needs_several_replicas, share_memory
 from lycheetide.placement._pack import RESERVED_SLOTS
 from lycheetide.placement._types import Arrivals, Candidate, Placement, RequestSize
 from lycheetide.placement._waits import estimate_slot_wait_s, has_memory, wait_s
@@ -178,7 +178,7 @@
         target_s if left_s is None else left_s,
         patience_s,
     )
-    if needs_shared_memory(engine, size.tokens):
+    if needs_several_replicas(engine, size.tokens):
         # A prompt this large needs the memory of several replicas, so helpers are
         # allowed even if a replica refused the request with helpers before.
         max_helpers = MAX_HELPERS
@@ -287,7 +287,7 @@
     count : int
         Number of readers to choose.
     """
-    if needs_shared_memory(engine, size.tokens):
+    if needs_several_replicas(engine, size.tokens):
         chosen = _choose_holders(engine, size, readers, count)
         if chosen is not None:
             return chosen
--- a/lycheetide/relay/_reservations.py
+++ b/lycheetide/relay/_reservations.py
@@ -14,7 +14,11 @@
 
 from lycheetide.gossip import Ended, MemoryWanted, WaitingRequest
 from lycheetide.httpclient import ChannelConnectError, ChannelError
-from lycheetide.placement import Placement, count_reservable_tokens, needs_shared_memory
+from lycheetide.placement import (
+    Placement,
+    count_reservable_tokens,
+    needs_several_replicas,
+)
 from lycheetide.relay._evidence import suspect
 from lycheetide.relay._selection import (
     find_placement,
@@ -83,7 +87,7 @@
         If the memory can't be reserved.
     """
     engine = call.service.engine or DEFAULT_ENGINE
-    if not needs_shared_memory(engine, call.size.tokens):
+    if not needs_several_replicas(engine, call.size.tokens):
         yield ReservedMemory()
         return
     memory, reservations = await _reserve_all(relay, call, wait_s)
