--- a/lycheetide/bookings/tests/test_claims.py
+++ b/lycheetide/bookings/tests/test_claims.py
@@ -36,7 +36,7 @@
         self.log = [{"kind": "claim", "key": "other", "id": "x", "member": "n",
                      "body_hash": "h"}]  # fmt: skip
         self.first_retained = 0
-        self.key_issue_offset = 1
+        self.key_offset = 1
         self.delayed_appends = []
         self.claims: list[Claim | None] = [None] * NODES
         self.may_run = [False] * NODES
@@ -72,8 +72,8 @@
             return
         records = list(enumerate(self.log))[self.first_retained :]
         decision = resolve_claim(
-            [row for row in records if row[0] >= self.key_issue_offset],
-            claim, issue_offset=self.key_issue_offset, first_retained=self.first_retained,
+            [row for row in records if row[0] >= self.key_offset],
+            claim, issue_offset=self.key_offset, first_retained=self.first_retained,
         )  # fmt: skip
         self.may_run[node] = decision.key_status is KeyStatus.MINE
 
